--- a/bench/cell_costs.py
+++ b/bench/cell_costs.py
@@ -12,7 +12,7 @@
 from attrs import evolve
 
 from thymefork_cells.effects import StartRun
-from thymefork_cells.specs import AccountPolicy, RoomLimit
+from thymefork_cells.specs import AccountPolicy, ResourceLimit
 from thymefork_cells.tests.harness import Harness, job_spec
 
 __all__ = ["main", "measure"]
@@ -29,13 +29,13 @@
 
     def __init__(self, **fields):
         super().__init__(**fields)
-        self.turns_ms = []
+        self.cycles_ms = []
         self.starts = 0
 
     def _decide(self, cell):
         began_s = time.process_time()
         super()._decide(cell)
-        self.turns_ms.append((time.process_time() - began_s) * 1000.0)
+        self.cycles_ms.append((time.process_time() - began_s) * 1000.0)
 
     def _perform(self, cell, effect):
         self.starts += isinstance(effect, StartRun)
@@ -67,17 +67,17 @@
     harness.run(500)
     numbers = count()
     _submit(harness, rate, numbers, accounts)
-    harness.turns_ms.clear()
+    harness.cycles_ms.clear()
     harness.starts = 0
     _submit(harness, rate, numbers, accounts)
-    turns = sorted(harness.turns_ms)
-    start_ms = sum(turns) / max(1, harness.starts)
-    return start_ms, turns[int(0.99 * len(turns))], harness.starts * 1000.0 / SPAN_MS
+    cycles = sorted(harness.cycles_ms)
+    start_ms = sum(cycles) / max(1, harness.starts)
+    return start_ms, cycles[int(0.99 * len(cycles))], harness.starts * 1000.0 / SPAN_MS
 
 
 def _with_accounts(configuration, count):
     """Return the configuration with accounts that share the whole room twice over."""
-    limit = RoomLimit(cpu_milli=2 * max(SIZES) * 16_000 // count + TASKS * 3_600)
+    limit = ResourceLimit(cpu_milli=2 * max(SIZES) * 16_000 // count + TASKS * 3_600)
     accounts = tuple(
         AccountPolicy(name=f"a{number}", weight=1.0, limit=limit)
         for number in range(count)
--- a/bench/experiments.py
+++ b/bench/experiments.py
@@ -19,25 +19,25 @@
 import typer
 from attrs import frozen
 
-from thymefork_cells.accounts import shares
-from thymefork_cells.advice import choice as advice_choice
-from thymefork_cells.estimates import images, worker_speeds
-from thymefork_cells.placing import (
+from thymefork_cells.accounts import job_rate_shares
+from thymefork_cells.advice import worker_selection as advice_choice
+from thymefork_cells.estimates import image_durations, worker_speeds
+from thymefork_cells.placement import (
     placer,
     preemptor,
     reservations,
-    speed_fit,
+    speed_scorer,
     step_order,
 )
 
-from . import load_states, share_orders
-from .described_load import read_load
-from .load_play import LoadPlay
+from . import account_orders, overload_order
+from .load_file import read_load
+from .load_simulation import LoadSimulation
 
-__all__ = ["VARIANTS", "Outcome", "compare", "main", "play"]
+__all__ = ["VARIANTS", "Outcome", "compare", "main", "simulate"]
 
 
-def _emptiest_first(spec, worker, speed_fit=None):
+def _emptiest_first(spec, worker, speed_scorer=None):
     """Rate the emptiest worker best, rather than the tightest fit."""
     entry = worker.entry
     free = worker.free_cpu_milli / max(1, entry.cpu_milli)
@@ -55,38 +55,44 @@
     return sorted(steps(order, now_ms), key=rank)
 
 
-def _by_class_alone(fit, worker, *, is_remote=False):
+def _by_speed_class(fit, worker, *, is_remote=False):
     """Rate by speed alone: the first queue takes fast workers, others slow ones."""
-    is_first = fit._fast_penalty == speed_fit.FAST_PENALTY_OF_FIRST
-    points = speed_fit.FAST_PENALTY * log(worker.slowness)
-    return points if is_first else -points
+    is_most_urgent = fit._fast_penalty == speed_scorer.FAST_PENALTY_MOST_URGENT
+    points = speed_scorer.FAST_PENALTY * log(worker.slowness)
+    return points if is_most_urgent else -points
 
 
 # What a variant changes: module or class, name and value.
 VARIANTS = {
     "as it is": (),
-    "no shares": ((shares.Shares, "admits", lambda *args: True),),
+    "no shares": ((job_rate_shares.JobRateShares, "admits", lambda *args: True),),
     "by jobs a second alone": (
-        (step_order.StepOrder, "_by_use", share_orders.jobs_alone),
+        (step_order.StepOrder, "_by_use", account_orders.by_job_rate_only),
+    ),
+    "all by use": (
+        (step_order.StepOrder, "_by_use", account_orders.by_dominant_share),
     ),
-    "all by use": ((step_order.StepOrder, "_by_use", share_orders.all_by_use),),
     "by use within a priority": (
-        (step_order.StepOrder, "_by_use", share_orders.by_use_in_a_priority),
+        (
+            step_order.StepOrder,
+            "_by_use",
+            account_orders.by_dominant_share_within_priority,
+        ),
     ),
     "all by fair queueing": (
-        (step_order.StepOrder, "_by_use", share_orders.fair_queueing),
+        (step_order.StepOrder, "_by_use", account_orders.fair_queueing),
     ),
     "beyond shares by fair queueing": (
-        (step_order.StepOrder, "_by_use", share_orders.fair_queueing_beyond),
+        (step_order.StepOrder, "_by_use", account_orders.fair_queueing_beyond_share),
     ),
     "in time first past full load": (
-        (step_order.StepOrder, "_by_use", load_states.order_past_full_load),
+        (step_order.StepOrder, "_by_use", overload_order.order_when_overloaded),
     ),
     "in time first, over priorities": (
-        (step_order.StepOrder, "_by_use", load_states.order_over_priorities),
+        (step_order.StepOrder, "_by_use", overload_order.order_ignoring_priorities),
     ),
-    "shares of 0.5 s": ((shares, "BURST_MS", 500.0),),
-    "shares of 10 s": ((shares, "BURST_MS", 10_000.0),),
+    "shares of 0.5 s": ((job_rate_shares, "BURST_MS", 500.0),),
+    "shares of 10 s": ((job_rate_shares, "BURST_MS", 10_000.0),),
     "shortest first": ((step_order.StepOrder, "steps", _shortest_first),),
     "emptiest worker first": ((placer, "fit_score", _emptiest_first),),
     "nobody makes way": ((preemptor.Preemptor, "make_room", lambda *args: False),),
@@ -96,9 +102,11 @@
     "speeds are not learned": (
         (worker_speeds.WorkerSpeeds, "learn", lambda *args, **fields: False),
     ),
-    "by class of speed alone": ((speed_fit.SpeedFit, "rate", _by_class_alone),),
-    "fast room is not kept": ((speed_fit, "FAST_PENALTY", 0.0),),
-    "callers' estimates alone": ((images.ImageTimes, "learn", lambda *args: None),),
+    "by class of speed alone": ((speed_scorer.SpeedScorer, "rate", _by_speed_class),),
+    "fast room is not kept": ((speed_scorer, "FAST_PENALTY", 0.0),),
+    "callers' estimates alone": (
+        (image_durations.ImageDurations, "learn", lambda *args: None),
+    ),
     "calls for little more than needed": ((advice_choice, "MARGIN", 1.2),),
     "calls for three times what is needed": ((advice_choice, "MARGIN", 3.0),),
     "calls grow slowly": ((advice_choice, "WIDER_AFTER_MS", 2_000.0),),
@@ -120,7 +128,7 @@
 
 
 @contextmanager
-def _as_in(variant):
+def _variant_applied(variant):
     kept = [(owner, name, getattr(owner, name)) for owner, name, _ in VARIANTS[variant]]
     for owner, name, value in VARIANTS[variant]:
         setattr(owner, name, value)
@@ -131,10 +139,10 @@
             setattr(owner, name, value)
 
 
-def play(path, variant, seed):
+def simulate(path, variant, seed):
     """Play a load once."""
-    with _as_in(variant):
-        result = LoadPlay(load=read_load(path), seed=seed).run()
+    with _variant_applied(variant):
+        result = LoadSimulation(load=read_load(path), seed=seed).run()
     return Outcome(**result)
 
 
@@ -143,7 +151,7 @@
     cases = [(variant, seed) for variant in variants for seed in range(1, seeds + 1)]
     found = {variant: [] for variant in variants}
     with ProcessPoolExecutor(processes) as pool:
-        plays = [pool.submit(play, path, variant, seed) for variant, seed in cases]
+        plays = [pool.submit(simulate, path, variant, seed) for variant, seed in cases]
         for number, ((variant, _), done) in enumerate(
             zip(cases, plays, strict=True), 1
         ):
