--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -334,8 +334,8 @@
 
     def _advise(self, cell, effect):
         if self.advisers:
-            with self.advisers.request() as turn:
-                yield turn
+            with self.advisers.request() as slot:
+                yield slot
                 self.asked.append((effect.step.name, effect.worker_ids))
                 yield self.env.timeout(effect.cost_ms)
         else:
