--- a/packages/thymefork-cells/src/thymefork_cells/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a cell, without I/O: the same code runs live and in tests."""
+"""Scheduling decisions of a cell, without I/O."""
 
 from .cell import Cell
 from .context import WORKER_LIST_MAX_AGE_MS
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/__init__.py
@@ -1,4 +1,4 @@
-"""Client accounts: their limits and shares."""
+"""Resource limits and fair shares of client accounts."""
 
 from .dominant_shares import DominantShares
 from .job_rate_shares import JobRateShares
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/account_demand.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/account_demand.py
@@ -1,4 +1,4 @@
-"""What an account's work in a cell asks for."""
+"""Resources that an account's work in a cell needs."""
 
 from copy import copy
 
@@ -11,10 +11,10 @@
 
 @define(kw_only=True, eq=False)
 class AccountDemand:
-    """Add up the room of an account's runs and of its work whose turn has come.
+    """Sum the resources of an account's runs and of its ready steps.
 
-    `first_blocked` is the room with which the first step that its limit holds back could begin,
-    None if it holds back none; `since_ms` is when the turn of that step came.
+    `first_blocked` is the usage with which the first step blocked by the limit could
+    start, None if no step is blocked; `since_ms` is when that step became ready.
     """
 
     wanted: AccountUsage
@@ -22,10 +22,10 @@
     since_ms: float = float("inf")
 
     def add(self, step, usage, left):
-        """Add a step, of which its account may start so many beside what it runs."""
+        """Add a step of which the limit allows `left` more tasks."""
         self.wanted.add(step.spec, len(step.waiting))
-        begins = step.spec.count if step.spec.gang else 1
-        if left < begins and self.first_blocked is None and step.waiting:
+        required = step.spec.count if step.spec.gang else 1
+        if left < required and self.first_blocked is None and step.waiting:
             self.first_blocked = copy(usage)
-            self.first_blocked.add(step.spec, begins)
+            self.first_blocked.add(step.spec, required)
             self.since_ms = step.ready_ms
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/borrowed_account.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/borrowed_account.py
@@ -1,4 +1,4 @@
-"""One account whose parts a cell borrows."""
+"""Borrowing state of one account in a cell."""
 
 from attrs import define, field
 
@@ -9,11 +9,13 @@
 
 @define(kw_only=True)
 class BorrowedAccount:
-    """Follow what was asked for, what is idle and what lenders ask back.
+    """Track requested, idle and recalled parts of one account.
 
-    `free` is what each lender could lend when it was last heard; `recalls` hold what
-    lenders ask back, and until when. `is_covering` tells that the asks are for what
-    runs already. Units: `*_ms` on the steady clock.
+    `free` maps lenders to the parts that they last reported as available; `recalls`
+    maps them to the recalled parts and the recall's expiry. `is_covering` is true while
+    the requests are for parts of runs that already exist.
+
+    Units: `*_ms` on the steady clock.
     """
 
     is_covering: bool = False
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_borrower.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_borrower.py
@@ -1,4 +1,4 @@
-"""What a cell borrows of the accounts' limits."""
+"""Borrow limit parts from other cells."""
 
 from collections import defaultdict
 
@@ -9,53 +9,53 @@
 
 __all__ = ["PartBorrower"]
 
-# Grants of one round come close together; what is missing still is asked for then.
-GATHER_MS = 20.0
+# Time to collect the grants of one round before requesting what is still missing.
+GRANT_COLLECTION_MS = 20.0
 
 
 class PartBorrower:
-    """Take what other cells lend; ask them by need, and give back what is idle."""
+    """Request parts by need, take grants and return idle parts."""
 
     def __init__(self, *, context, ledger, quotas, needs):
         self._context = context
         self._ledger = ledger
         self._needs = needs
         self._accounts = defaultdict(BorrowedAccount)
-        self._asking = PartRequester(
+        self._requester = PartRequester(
             context=context, ledger=ledger, quotas=quotas, needs=needs
         )
-        self._giving_back = PartReturner(
-            context=context, ledger=ledger, needs=needs, asking=self._asking
+        self._returner = PartReturner(
+            context=context, ledger=ledger, needs=needs, requester=self._requester
         )
 
     def run_cycle(self, now_ms):
-        """Ask for what is missing, and give back what lenders need."""
+        """Request missing parts, and return recalled ones."""
         for name in self._ledger.recalled_accounts:
-            self._giving_back.apply_recalls(name, self._accounts[name], now_ms)
-        self._asking.ask(self._accounts, now_ms)
+            self._returner.apply_recalls(name, self._accounts[name], now_ms)
+        self._requester.ask(self._accounts, now_ms)
 
     def due_ms(self, now_ms):
-        """Return when the next ask is due."""
-        return self._asking.due_ms(self._accounts, now_ms)
+        """Return when the next request is due."""
+        return self._requester.due_ms(self._accounts, now_ms)
 
     def review(self, now_ms, is_wanted):
-        """Look for what runs without parts, and for what is idle."""
-        self._asking.cover_runs(self._accounts, now_ms)
+        """Request parts for uncovered runs, and return idle parts."""
+        self._requester.cover_runs(self._accounts, now_ms)
         for name in self._ledger.borrowed_accounts:
             if self._needs.knows(name):
                 account = self._accounts[name]
-                self._giving_back.review(name, account, is_wanted(name), now_ms)
+                self._returner.review(name, account, is_wanted(name), now_ms)
 
     def on_recall(self, ask, now_ms):
-        """Give back what a lender asks for that lent it to this cell."""
+        """Return parts that a lender requests back."""
         if self._needs.knows(ask.account):
             account = self._accounts[ask.account]
-            self._giving_back.on_recall(account, ask, now_ms)
+            self._returner.on_recall(account, ask, now_ms)
 
     def on_grant(self, grant, now_ms):
-        """Count on what is lent, by the latest grant to this owner."""
+        """Take a grant unless it is for another owner or outdated."""
         if grant.borrower_epoch < self._context.epoch:
-            self._giving_back.tell_epoch(grant.account, grant.lender)
+            self._returner.tell_epoch(grant.account, grant.lender)
         elif grant.borrower_epoch > self._context.epoch:
             self._context.count("limit_parts", "later_owner")
         else:
@@ -67,7 +67,7 @@
         name, key = grant.account, (grant.lender_epoch, grant.number)
         known = self._ledger.borrowed_from(name).get(grant.lender)
         if known is not None and key == known.grant:
-            self._giving_back.tell(name, grant.lender)
+            self._returner.tell(name, grant.lender)
             return
         if known is not None and key < known.grant:
             self._context.count("limit_parts", "late_grant")
@@ -77,6 +77,6 @@
         account = self._accounts[name]
         account.idle = None
         if grant.parts.minus(before):
-            soon_ms = max(now_ms + GATHER_MS, account.paused_until_ms)
+            soon_ms = max(now_ms + GRANT_COLLECTION_MS, account.paused_until_ms)
             account.due_ms = min(account.due_ms, soon_ms)
             self._context.count("limit_parts", "borrowed")
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
@@ -1,4 +1,4 @@
-"""The parts of limits that pass between this cell and the others."""
+"""Exchange limit parts with the other cells."""
 
 from functools import singledispatchmethod
 
@@ -9,51 +9,50 @@
 
 __all__ = ["PartExchange"]
 
-# Idle parts and asks that wait are looked over this often.
-REVIEW_MS = 100.0
+REVIEW_INTERVAL_MS = 100.0
 
 
 class PartExchange:
-    """Let parts of limits move by need; idle where there is one cell or no limit."""
+    """Borrow and lend limit parts; does nothing with one cell or no limits."""
 
     def __init__(self, *, context, ledger, quotas):
         self._context = context
         self._quotas = quotas
-        parts = {
+        dependencies = {
             "context": context,
             "ledger": ledger,
             "quotas": quotas,
             "needs": PartNeeds(context=context, ledger=ledger, quotas=quotas),
         }
-        self._lending = PartLender(**parts)
-        self._borrowing = PartBorrower(**parts)
+        self._lender = PartLender(**dependencies)
+        self._borrower = PartBorrower(**dependencies)
         self._review_due_ms = 0.0
 
     def run_cycle(self, now_ms):
-        """Ask, lend and give back; return when the next turn is due at the latest."""
+        """Request, lend and return parts; return when the next cycle is due."""
         if self._context.cell_count == 1 or not self._quotas.has_limits:
             return float("inf")
-        self._borrowing.run_cycle(now_ms)
+        self._borrower.run_cycle(now_ms)
         if now_ms >= self._review_due_ms:
-            self._review_due_ms = now_ms + REVIEW_MS
-            self._borrowing.review(now_ms, self._lending.has_requests)
-            self._lending.run_cycle(now_ms)
-        return self._borrowing.due_ms(now_ms)
+            self._review_due_ms = now_ms + REVIEW_INTERVAL_MS
+            self._borrower.review(now_ms, self._lender.has_requests)
+            self._lender.run_cycle(now_ms)
+        return self._borrower.due_ms(now_ms)
 
     @singledispatchmethod
     def on_message(self, message, *, now_ms):
-        """Take a message from another cell's owner."""
-        raise TypeError(f"{type(message).__name__} is no message on parts")
+        """Handle a message from another cell's owner."""
+        raise TypeError(f"{type(message).__name__} is not a limit part message")
 
     @on_message.register
     def _on_ask(self, ask: RequestParts, *, now_ms):
-        self._borrowing.on_recall(ask, now_ms)
-        self._lending.on_ask(ask, now_ms)
+        self._borrower.on_recall(ask, now_ms)
+        self._lender.on_ask(ask, now_ms)
 
     @on_message.register
     def _on_grant(self, grant: GrantParts, *, now_ms):
-        self._borrowing.on_grant(grant, now_ms)
+        self._borrower.on_grant(grant, now_ms)
 
     @on_message.register
     def _on_hold(self, hold: ReportHeldParts, *, now_ms):
-        self._lending.on_hold(hold, now_ms)
+        self._lender.on_hold(hold, now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_lender.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_lender.py
@@ -1,4 +1,4 @@
-"""What a cell lends of its parts of the accounts' limits, and to whom."""
+"""Lend limit parts to other cells."""
 
 from operator import attrgetter
 
@@ -9,26 +9,24 @@
 
 __all__ = ["PartLender"]
 
-# An ask is renewed every two seconds at the latest while it holds; one that is older
-# than twice that is of an owner that is cut off or gone.
-ASK_KEPT_MS = 4_500.0
-# A loan is told again this often: a grant, an answer or an owner there may be lost.
-REMIND_MS = 2_000.0
-# This is kept for what comes next here, unless it lets a step begin elsewhere that
-# could not: a tenth of its own lets the widest cells start a task at once.
-KEPT = LimitParts.all_of(PARTS_PER_CELL // 10)
+# More than twice the longest renewal interval of a request: its sender is unreachable.
+REQUEST_TTL_MS = 4_500.0
+# Grants are resent at this interval, in case a message was lost or the owner changed.
+RESEND_INTERVAL_MS = 2_000.0
+# Kept for new work in this cell, unless a blocked step of another cell needs it.
+RETAINED = LimitParts.all_of(PARTS_PER_CELL // 10)
 NONE = LimitParts()
 OWN = LimitParts.all_of(PARTS_PER_CELL)
 
 
 class PartLender:
-    """Lend the cell's own parts that its work doesn't want.
+    """Lend the cell's own parts that its work doesn't need.
 
-    An ask is kept for a while and served as parts become idle. What lets a step begin
-    goes before what lets more of it run; of the latter, askers get equal shares. Steps
-    that fit their cell's own share begin first, then the longest waiter. Work here that
-    can't begin for want of parts gives way to a step before it in this order. What runs
-    in another cell without parts, as after a limit was lowered, goes before all.
+    Requests are kept for a while and served as parts become idle. Uncovered runs of
+    another cell, as after a limit was lowered, are served first. Parts that let a step
+    start go before parts for more of its tasks, which are divided evenly. Blocked
+    steps, local ones included, are ordered by whether they fit their cell's own parts,
+    then by their waiting time.
     """
 
     def __init__(self, *, context, ledger, quotas, needs):
@@ -36,27 +34,27 @@
         self._ledger = ledger
         self._quotas = quotas
         self._needs = needs
-        self._asks = {}  # by account, then by borrower, with when to forget it
-        self._epochs = {}  # the latest owner heard of each cell
-        self._remind_due_ms = context.taken_over_ms
+        self._requests = {}  # by account, then borrower: the request and its expiry
+        self._epochs = {}  # latest owner epoch seen, by cell
+        self._resend_due_ms = context.taken_over_ms
 
     def on_ask(self, ask, now_ms):
-        """Lend what can be lent now, and keep what is missing in mind."""
+        """Lend what is available now, and keep the rest of the request."""
         if not self._is_latest(ask):
             return
-        waiting = self._asks.setdefault(ask.account, {})
+        waiting = self._requests.setdefault(ask.account, {})
         waiting.pop(ask.borrower, None)
         if ask.least or ask.most:
-            waiting[ask.borrower] = (ask, now_ms + ASK_KEPT_MS)
-        if self._readdress(ask, now_ms):
-            waiting.pop(ask.borrower, None)  # it asks anew by what it then holds
+            waiting[ask.borrower] = (ask, now_ms + REQUEST_TTL_MS)
+        if self._regrant(ask, now_ms):
+            waiting.pop(ask.borrower, None)  # it sends a new request
         lent_to = self.serve(ask.account, now_ms)
         if ask.borrower in waiting and ask.borrower not in lent_to:
             self._refuse(ask, now_ms)
 
     def on_hold(self, hold, now_ms):
-        """Take back what a borrower counts on no more."""
-        if not self._is_latest(hold) or self._readdress(hold, now_ms):
+        """Reduce a loan to what the borrower still holds."""
+        if not self._is_latest(hold) or self._regrant(hold, now_ms):
             return
         loan = self._ledger.loans(hold.account).get(hold.borrower)
         grant = (hold.lender_epoch, hold.number)
@@ -69,25 +67,25 @@
             self.serve(hold.account, now_ms)
 
     def run_cycle(self, now_ms):
-        """Serve the asks that wait; tell what is lent once more when it is due."""
-        for name in list(self._asks):
+        """Serve pending requests, and resend grants when due."""
+        for name in list(self._requests):
             self.serve(name, now_ms)
-        if now_ms >= self._remind_due_ms:
-            self._remind_due_ms = now_ms + REMIND_MS
+        if now_ms >= self._resend_due_ms:
+            self._resend_due_ms = now_ms + RESEND_INTERVAL_MS
             for name in self._ledger.lent_accounts:
                 self.resend_grants(name, now_ms)
 
     def has_requests(self, name):
-        """Tell whether another cell waits for parts of an account."""
-        return bool(self._asks.get(name))
+        """Return whether another cell waits for parts of an account."""
+        return bool(self._requests.get(name))
 
     def resend_grants(self, name, now_ms):
-        """Tell each borrower of an account what is lent to it."""
+        """Resend the grants of an account to its borrowers."""
         for borrower, loan in self._ledger.loans(name).items():
-            self._tell(name, borrower, loan, now_ms)
+            self._send_grant(name, borrower, loan, now_ms)
 
     def _is_latest(self, message):
-        """Tell whether a message is of the latest owner that was heard."""
+        """Return whether a message is from the latest known owner of its cell."""
         loan = self._ledger.loans(message.account).get(message.borrower)
         latest = self._epochs.get(message.borrower, -1)
         if loan is not None:
@@ -98,8 +96,8 @@
         self._epochs[message.borrower] = message.borrower_epoch
         return True
 
-    def _readdress(self, message, now_ms):
-        """Tell a cell's new owner what the one before had borrowed."""
+    def _regrant(self, message, now_ms):
+        """Grant a previous owner's loan to the cell's new owner, if there is one."""
         loan = self._ledger.loans(message.account).get(message.borrower)
         if loan is None or loan.borrower_epoch >= message.borrower_epoch:
             return False
@@ -109,71 +107,82 @@
     # Serving -------------------------------------------------------------------
 
     def serve(self, name, now_ms):
-        """Lend what is idle to those that wait for it; return to whom."""
-        asks = self._live_asks(name, now_ms)
-        gifts = self._gifts(name, asks, now_ms)
-        for borrower, gift in gifts.items():
-            ask, until_ms = self._asks[name][borrower]
-            self._lend(name, borrower, gift, now_ms)
-            left = evolve(ask, least=ask.least.minus(gift), most=ask.most.minus(gift))
-            self._asks[name][borrower] = (left, until_ms)
+        """Lend idle parts to pending requests; return the borrowers served."""
+        requests = self._live_requests(name, now_ms)
+        allocations = self._allocations(name, requests, now_ms)
+        for borrower, amount in allocations.items():
+            ask, until_ms = self._requests[name][borrower]
+            self._lend(name, borrower, amount, now_ms)
+            left = evolve(
+                ask, least=ask.least.minus(amount), most=ask.most.minus(amount)
+            )
+            self._requests[name][borrower] = (left, until_ms)
             if not left.least and not left.most:
-                del self._asks[name][borrower]
-        self._promise(name)
-        return gifts.keys()
-
-    def _promise(self, name):
-        """Start nothing by what is to cover runs of other cells as runs end here."""
-        promised = NONE
-        for ask, _ in self._asks.get(name, {}).values():
+                del self._requests[name][borrower]
+        self._reserve_for_runs(name)
+        return allocations.keys()
+
+    def _reserve_for_runs(self, name):
+        """Reserve own parts for uncovered runs of other cells."""
+        reserved = NONE
+        for ask, _ in self._requests.get(name, {}).values():
             if ask.covers_runs:
-                promised += ask.least
-        self._ledger.set_reserved(name, promised)
+                reserved += ask.least
+        self._ledger.set_reserved(name, reserved)
 
-    def _live_asks(self, name, now_ms):
-        """Return the asks that still wait, the longest waiter's first."""
-        waiting = self._asks.get(name, {})
+    def _live_requests(self, name, now_ms):
+        """Return the unexpired requests, in serving order."""
+        waiting = self._requests.get(name, {})
         for borrower, (_, until_ms) in list(waiting.items()):
             if until_ms <= now_ms:
                 del waiting[borrower]
         if not waiting:
-            self._asks.pop(name, None)
+            self._requests.pop(name, None)
         return sorted((ask for ask, _ in waiting.values()), key=attrgetter("order"))
 
-    def _gifts(self, name, asks, now_ms):
-        """Return what is lent now, by borrower."""
-        gifts = {}
+    def _allocations(self, name, requests, now_ms):
+        """Return the parts to lend now, by borrower."""
+        allocations = {}
         given = NONE
-        for ask in asks:
-            gift = ask.least.elementwise_min(self._idle(name, now_ms, ask).minus(given))
-            gifts[ask.borrower] = gift
-            given += gift
-        if asks:
-            spare = self._idle(name, now_ms).minus(KEPT).minus(given).split(len(asks))
-            for ask in asks:
-                gift = gifts[ask.borrower]
-                gifts[ask.borrower] = gift + ask.most.minus(gift).elementwise_min(spare)
-        return {borrower: gift for borrower, gift in gifts.items() if gift}
+        for ask in requests:
+            amount = ask.least.elementwise_min(
+                self._idle(name, now_ms, ask).minus(given)
+            )
+            allocations[ask.borrower] = amount
+            given += amount
+        if requests:
+            spare = (
+                self._idle(name, now_ms)
+                .minus(RETAINED)
+                .minus(given)
+                .split(len(requests))
+            )
+            for ask in requests:
+                amount = allocations[ask.borrower]
+                allocations[ask.borrower] = amount + ask.most.minus(
+                    amount
+                ).elementwise_min(spare)
+        return {borrower: amount for borrower, amount in allocations.items() if amount}
 
     def _idle(self, name, now_ms, ask=None):
-        """Return what is lent to an ask rather than used here.
+        """Return own parts that may be lent to a request.
 
-        What is borrowed goes back to its lenders and isn't lent once more.
+        Borrowed parts go back to their lenders and are not lent on.
         """
         if not self._needs.knows(name):
             return NONE
-        gives_way = ask is not None and self._goes_first(ask, now_ms)
-        wanted = self._needs.used(name) if gives_way else self._needs.wanted(name)
+        yields = ask is not None and self._goes_first(ask, now_ms)
+        wanted = self._needs.used(name) if yields else self._needs.wanted(name)
         return self._ledger.unlent(name).minus(wanted)
 
     def _goes_first(self, ask, now_ms):
-        """Tell whether what waits here gives way to an ask's step."""
+        """Return whether a request goes before the steps that wait here."""
         name = ask.account
         first = self._needs.required_to_start(name)
         if ask.covers_runs:
             return True
         if not first.minus(self._ledger.usable(name)):
-            return False  # it begins in the next plan
+            return False  # the local step starts in the next plan
         demand = self._quotas.demands[name]
         age_ms = now_ms - demand.since_ms
         since_epoch_ms = round(self._context.epoch_ms() - age_ms)
@@ -184,7 +193,7 @@
         loan = self._ledger.lend(
             name, borrower, more, borrower_epoch=self._epochs[borrower]
         )
-        self._tell(name, borrower, loan, now_ms)
+        self._send_grant(name, borrower, loan, now_ms)
         if not more:
             return
         self._context.count("limit_parts", "lent")
@@ -201,8 +210,8 @@
             number=loan.number,
         )
 
-    def _tell(self, name, borrower, loan, now_ms):
-        """Tell what is lent, once that is stored."""
+    def _send_grant(self, name, borrower, loan, now_ms):
+        """Send a grant once its loan is stored."""
         grant = GrantParts(
             account=name,
             lender=self._context.cell,
@@ -216,7 +225,7 @@
         self._context.journal.after(grant)
 
     def _refuse(self, ask, now_ms):
-        """Tell at once that nothing is lent now."""
+        """Reply at once that nothing can be lent now."""
         name = ask.account
         if not self._needs.knows(name):
             reason = "refused_unknown_account"
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_needs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_needs.py
@@ -1,4 +1,4 @@
-"""How many parts of its limit an account's work in a cell takes."""
+"""Limit parts that an account's work in a cell needs."""
 
 from ..specs import LimitParts
 
@@ -8,7 +8,7 @@
 
 
 class PartNeeds:
-    """Express what runs and what waits in parts; of accounts with a known limit."""
+    """Convert used and wanted resources to limit parts; the limit must be known."""
 
     def __init__(self, *, context, ledger, quotas):
         self._context = context
@@ -16,22 +16,22 @@
         self._quotas = quotas
 
     def knows(self, name):
-        """Tell whether an account's limit is known."""
+        """Return whether an account's limit is known."""
         return self._quotas.known_limit(name) is not None
 
     def used(self, name):
-        """Return what its runs take, until they are surely gone."""
+        """Return the parts used by runs that may still exist."""
         return self._parts_of(name, self._context.usage_of(name))
 
     def wanted(self, name):
-        """Return what its runs take and its work whose turn has come."""
+        """Return the parts used by runs and needed by ready steps."""
         demand = self._quotas.demands.get(name)
         if demand is None:
             return self.used(name)
         return self._parts_of(name, demand.wanted)
 
     def is_satisfied(self, name):
-        """Tell whether all that waits may start by what is held."""
+        """Return whether the parts held let all ready tasks start."""
         wanted = self._quotas.demands[name].wanted
         allowed = self._ledger.allowed(name, self._quotas.known_limit(name))
         return (
@@ -43,10 +43,10 @@
         )
 
     def required_to_start(self, name):
-        """Return with what a step could begin that can't for want of parts.
+        """Return the parts with which the first blocked step could start.
 
-        None where none waits. What doesn't fit the whole limit beside what runs here
-        has to wait for that, and needs nothing from others.
+        Zero if no step is blocked, or if the step would exceed the whole limit beside
+        the runs here: it has to wait for those.
         """
         demand = self._quotas.demands.get(name)
         if demand is None or demand.first_blocked is None:
@@ -55,18 +55,18 @@
         return NONE if parts.minus(self.whole) else parts
 
     def unused(self, name):
-        """Return what is held beyond what runs."""
+        """Return the held parts that no run uses."""
         return self._ledger.held(name).minus(self.used(name))
 
     def idle(self, name):
-        """Return what is held beyond what runs and what waits."""
+        """Return the held parts that neither runs nor ready steps need."""
         return self.unused(name).minus(self.wanted(name).minus(self.used(name)))
 
     @property
     def whole(self):
-        """Return all parts of a limit."""
+        """Return the parts of a whole limit."""
         return LimitParts.all_of(self._ledger.whole)
 
-    def _parts_of(self, name, room):
+    def _parts_of(self, name, resources):
         limit = self._quotas.known_limit(name)
-        return LimitParts.from_resources(room, limit, self._ledger.whole)
+        return LimitParts.from_resources(resources, limit, self._ledger.whole)
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_returner.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_returner.py
@@ -1,52 +1,51 @@
-"""When a cell gives back what it borrowed of a limit."""
+"""Return borrowed limit parts to their lenders."""
 
 from ..effects import ReportHeldParts
 from ..specs import LimitParts
 
 __all__ = ["PartReturner"]
 
-# What is idle for so long is given back: short tasks follow each other within it.
-IDLE_MS = 300.0
-# A step that doesn't get what it needs to begin in this time lets go of what it has
-# got: two that each hold half of what they need would wait for each other for ever.
-HOARD_MS = 400.0
-# It then asks again after this long, and so much longer for each cell, so that two such
-# steps don't meet once more.
-PAUSE_MS = 120.0
-PAUSE_PER_CELL_MS = 40.0
-# A lender that still wants its parts has asked again by then.
-RECALL_KEPT_MS = 2_500.0
+# Longer than the gap between consecutive short tasks.
+IDLE_RETURN_MS = 300.0
+# Unused parts are released after this time without enough to start a step, so that two
+# cells that each hold half of what they need don't deadlock.
+MAX_UNMET_MS = 400.0
+# Backoff before the next request; it differs by cell so that the cells don't collide.
+BACKOFF_MS = 120.0
+BACKOFF_PER_CELL_MS = 40.0
+# A lender that still needs its parts renews its request before this expires.
+RECALL_TTL_MS = 2_500.0
 
 
 class PartReturner:
-    """Give back what is idle, what can't be used and what a lender needs itself."""
+    """Return parts that are idle, unusable or recalled by their lender."""
 
-    def __init__(self, *, context, ledger, needs, asking):
+    def __init__(self, *, context, ledger, needs, requester):
         self._context = context
         self._ledger = ledger
         self._needs = needs
-        self._asking = asking
+        self._requester = requester
 
     def on_recall(self, account, ask, now_ms):
-        """Start nothing more by what a lender now asks back."""
+        """Stop starting work on parts that a lender recalls."""
         row = self._ledger.borrowed_from(ask.account).get(ask.borrower)
         if row is None:
             return
         account.recalls.pop(ask.borrower, None)
         parts = ask.most.elementwise_min(row.parts)
         if parts:
-            account.recalls[ask.borrower] = (parts, now_ms + RECALL_KEPT_MS)
+            account.recalls[ask.borrower] = (parts, now_ms + RECALL_TTL_MS)
             self._context.count("limit_parts", "recalled")
         self.apply_recalls(ask.account, account, now_ms)
 
     def apply_recalls(self, name, account, now_ms):
-        """Give back what lenders ask back, as far as nothing runs by it any more."""
+        """Return recalled parts that no run uses any more."""
         left = {}
         for lender, (parts, until_ms) in account.recalls.items():
             held = self._ledger.borrowed_from(name)[lender].parts
             idle = parts.elementwise_min(held).elementwise_min(self._needs.unused(name))
             if idle and until_ms > now_ms:
-                self._give_back(name, lender, idle, "recalled")
+                self._return(name, lender, idle, "recalled")
             if parts.minus(idle) and until_ms > now_ms:
                 left[lender] = (parts.minus(idle), until_ms)
         account.recalls = left
@@ -54,56 +53,56 @@
         self._ledger.set_recalled(name, recalled)
 
     def review(self, name, account, is_wanted, now_ms):
-        """Give back what has been idle for a while, at once what another cell wants."""
+        """Return idle parts: at once if another cell wants them, else after a delay."""
         if self._is_stuck(name, account, now_ms):
-            self._let_go(name, account, now_ms)
+            self._release_unused(name, account, now_ms)
             return
         idle = self._needs.idle(name)
         if account.idle is None:
             account.idle, account.idle_since_ms = idle, now_ms
         account.idle = account.idle.elementwise_min(idle)
-        if is_wanted or now_ms - account.idle_since_ms >= IDLE_MS:
+        if is_wanted or now_ms - account.idle_since_ms >= IDLE_RETURN_MS:
             reason = "wanted" if is_wanted else "idle"
-            self._give_back_any(name, account.idle, reason)
+            self._return_from_any(name, account.idle, reason)
             account.idle = None
 
     def tell(self, name, lender):
-        """Tell a lender what is still counted on, by its latest grant."""
+        """Report the parts held under a lender's latest grant."""
         row = self._ledger.borrowed_from(name)[lender]
-        self._hold(name, lender, row.grant, row.parts)
+        self._send_held(name, lender, row.grant, row.parts)
 
     def tell_epoch(self, name, lender):
-        """Tell a lender that another owner than the one it lent to has the cell."""
-        self._hold(name, lender, (0, 0), LimitParts())
+        """Report this owner's epoch to a lender that granted to an earlier one."""
+        self._send_held(name, lender, (0, 0), LimitParts())
 
     def _is_stuck(self, name, account, now_ms):
-        """Tell whether a step has waited for too long for parts to begin with."""
+        """Return whether a step has waited too long for the parts to start."""
         if not self._needs.required_to_start(name).minus(self._ledger.usable(name)):
             account.unmet_since_ms = None
             return False
         if account.unmet_since_ms is None:
             account.unmet_since_ms = now_ms
-        return now_ms - account.unmet_since_ms > HOARD_MS
+        return now_ms - account.unmet_since_ms > MAX_UNMET_MS
 
-    def _let_go(self, name, account, now_ms):
+    def _release_unused(self, name, account, now_ms):
         account.unmet_since_ms = account.idle = None
         unused = self._needs.unused(name).elementwise_min(self._ledger.borrowed(name))
         if not unused:
             return
-        self._give_back_any(name, unused, "could_not_begin")
-        self._asking.stop(name)
-        pause_ms = PAUSE_MS + PAUSE_PER_CELL_MS * self._context.cell
-        account.due_ms = account.paused_until_ms = now_ms + pause_ms
+        self._return_from_any(name, unused, "could_not_begin")
+        self._requester.stop(name)
+        backoff_ms = BACKOFF_MS + BACKOFF_PER_CELL_MS * self._context.cell
+        account.due_ms = account.paused_until_ms = now_ms + backoff_ms
 
-    def _give_back_any(self, name, parts, reason):
+    def _return_from_any(self, name, parts, reason):
         for lender, row in self._ledger.borrowed_from(name).items():
             share = parts.elementwise_min(row.parts)
             if share:
-                self._give_back(name, lender, share, reason)
+                self._return(name, lender, share, reason)
                 parts = parts.minus(share)
 
-    def _give_back(self, name, lender, parts, reason):
-        """Count on less from now on, then say so."""
+    def _return(self, name, lender, parts, reason):
+        """Return parts to a lender, and report what is still held."""
         self._ledger.give_back(name, lender, parts)
         self.tell(name, lender)
         self._context.count("limit_parts", f"returned_{reason}")
@@ -120,7 +119,7 @@
             whole=self._ledger.whole,
         )
 
-    def _hold(self, name, lender, grant, parts):
+    def _send_held(self, name, lender, grant, parts):
         lender_epoch, number = grant
         self._context.emit(
             ReportHeldParts(
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
@@ -1,4 +1,4 @@
-"""Which parts of the accounts' limits a cell holds."""
+"""Ledger of the limit parts that a cell holds, lends and borrows."""
 
 import orjson
 from attrs import define
@@ -14,7 +14,7 @@
 
 @define(kw_only=True)
 class Loan:
-    """Hold what is lent to a cell, under the grant that told it to an owner there."""
+    """Hold the parts lent to a cell, and the grant that announced them."""
 
     parts: LimitParts
     lender_epoch: int
@@ -23,15 +23,15 @@
 
     @property
     def grant(self):
-        """Return what names the grant."""
+        """Return the grant's identifier."""
         return (self.lender_epoch, self.number)
 
 
 @define(kw_only=True)
 class Borrowed:
-    """Hold what is borrowed from a cell, under its latest grant that was heard.
+    """Hold the parts borrowed from a cell, and the latest grant received.
 
-    It stays when nothing is borrowed any more, so that no grant is taken twice.
+    Kept after all parts are returned, so that a repeated grant is recognized.
     """
 
     parts: LimitParts
@@ -39,76 +39,75 @@
 
 
 class PartsLedger:
-    """Add up a cell's own parts, without what is lent, and what is borrowed.
+    """Track a cell's own, lent and borrowed parts of each account's limit.
 
-    What is lent is stored; what is borrowed each owner hears from the lenders anew. A
-    lender counts a loan as lent until its borrower says that it counts on less, so the
-    cells never hold more than the whole between them. By what lenders ask back, and by
-    what is promised to others, nothing is started any more. `changed_accounts` are the accounts
-    whose parts changed since they were asked for last.
+    Loans are stored; borrowed parts are reported anew by the lenders to each owner. A
+    loan is reduced only after its borrower has reported holding less, so all cells
+    together never hold more than the whole limit. Recalled and reserved parts start no
+    new work. `changed_accounts` are those whose parts changed since the last request.
     """
 
     def __init__(self, *, context):
         self._context = context
         self._loans = {}  # by account, then by borrower
         self._borrowed = {}  # by account, then by lender
-        self._in_debt = set()
+        self._borrowed_accounts = set()
         self._recalled = {}
-        self._promised = {}
+        self._reserved = {}
         self.changed_accounts = set()
-        self._allowed = {}
+        self._allowed_cache = {}
         self._number = 0
 
     @property
     def whole(self):
-        """Return how many parts a limit has in all cells together."""
+        """Return the number of parts of a whole limit."""
         return PARTS_PER_CELL * self._context.cell_count
 
     @property
     def lent_accounts(self):
-        """Return the accounts of which something is lent."""
+        """Return the accounts with loans to other cells."""
         return list(self._loans)
 
     @property
     def borrowed_accounts(self):
-        """Return the accounts of which something is borrowed."""
-        return list(self._in_debt)
+        """Return the accounts with borrowed parts."""
+        return list(self._borrowed_accounts)
 
     @property
     def recalled_accounts(self):
-        """Return the accounts of which a lender asks something back."""
+        """Return the accounts with recalled parts."""
         return list(self._recalled)
 
     def unlent(self, name):
-        """Return what is left of the cell's own parts."""
+        """Return the cell's own parts that are not lent."""
         return OWN.minus(_sum(self.loans(name)))
 
     def borrowed(self, name):
-        """Return what is borrowed in all."""
+        """Return the parts borrowed from all lenders."""
         return _sum(self.borrowed_from(name))
 
     def held(self, name):
-        """Return all parts that the cell may count on."""
+        """Return own and borrowed parts together."""
         return self.unlent(name) + self.borrowed(name)
 
     def usable(self, name):
-        """Return the parts by which work may be started."""
+        """Return the parts that new work may use."""
         recalled = NONE
         for lender, parts in self._recalled.get(name, {}).items():
             recalled += parts.elementwise_min(self.borrowed_from(name)[lender].parts)
-        promised = self._promised.get(name, NONE).elementwise_min(self.unlent(name))
-        return self.held(name).minus(recalled).minus(promised)
+        reserved = self._reserved.get(name, NONE).elementwise_min(self.unlent(name))
+        return self.held(name).minus(recalled).minus(reserved)
 
     def allowed(self, name, limit):
-        """Return what of an account's limit the cell may have running."""
-        known = self._allowed.get(name)
+        """Return the resources that the cell may use of an account's limit."""
+        known = self._allowed_cache.get(name)
         if known is None or known[0] is not limit or known[1] != self.whole:
-            room = limit.part(self.usable(name), self.whole)
-            known = self._allowed[name] = (limit, self.whole, room)
+            resources = limit.part(self.usable(name), self.whole)
+            known = self._allowed_cache[name] = (limit, self.whole, resources)
         return known[2]
 
-    def _changed(self, name):
-        self._allowed.pop(name, None)
+    def _mark_changed(self, name):
+        self._allowed_cache.pop(name, None)
         self.changed_accounts.add(name)
         self._context.needs_plan = True
 
@@ -119,7 +118,7 @@
         return self._loans.get(name, {})
 
     def load(self, records):
-        """Count what the owners before have lent."""
+        """Load the stored loans of previous owners."""
         for key, value in records.items():
             if key.startswith(LOAN_KEY):
                 borrower, name = key.removeprefix(LOAN_KEY).split("/", 1)
@@ -132,7 +131,7 @@
                 )
 
     def lend(self, name, borrower, more, *, borrower_epoch):
-        """Lend more, under a new grant to an owner; return the loan."""
+        """Increase a loan under a new grant, and return it."""
         self._number += 1
         before = self.loans(name).get(borrower)
         loan = Loan(
@@ -146,7 +145,7 @@
         return loan
 
     def reduce_loan(self, name, borrower, parts):
-        """Count a loan as no more than its borrower says; return what came back."""
+        """Reduce a loan to what its borrower holds; return the parts freed."""
         loan = self._loans[name][borrower]
         returned = loan.parts.minus(parts)
         if not returned:
@@ -160,16 +159,16 @@
         return returned
 
     def set_reserved(self, name, parts):
-        """Start nothing more by some of the cell's own parts."""
-        if parts != self._promised.get(name, NONE):
-            self._promised[name] = parts
-            self._changed(name)
+        """Set the own parts on which nothing new is started."""
+        if parts != self._reserved.get(name, NONE):
+            self._reserved[name] = parts
+            self._mark_changed(name)
 
     def _store(self, name, borrower, loan):
         row = [loan.parts.row, loan.lender_epoch, loan.number, loan.borrower_epoch]
         value = orjson.dumps(row) if loan.parts else b""
         self._context.journal.put(f"{LOAN_KEY}{borrower}/{name}", value)
-        self._changed(name)
+        self._mark_changed(name)
 
     # Borrowed ------------------------------------------------------------------
 
@@ -178,33 +177,33 @@
         return self._borrowed.get(name, {})
 
     def borrow(self, name, lender, parts, grant):
-        """Count on what a grant says, which is later than all before."""
+        """Record the parts of a lender's newest grant."""
         row = Borrowed(parts=parts, grant=grant)
         self._borrowed.setdefault(name, {})[lender] = row
-        self._note_debt(name)
+        self._update_borrowed(name)
 
     def give_back(self, name, lender, parts):
-        """Count no more on some of what was borrowed."""
+        """Subtract returned parts from a loan."""
         row = self._borrowed[name][lender]
         row.parts = row.parts.minus(parts)
-        self._note_debt(name)
+        self._update_borrowed(name)
 
-    def _note_debt(self, name):
+    def _update_borrowed(self, name):
         if self.borrowed(name):
-            self._in_debt.add(name)
+            self._borrowed_accounts.add(name)
         else:
-            self._in_debt.discard(name)
-        self._changed(name)
+            self._borrowed_accounts.discard(name)
+        self._mark_changed(name)
 
     def set_recalled(self, name, by_lender):
-        """Start nothing more by what some lenders ask back."""
+        """Set the borrowed parts on which nothing new is started, by lender."""
         if by_lender == self._recalled.get(name, {}):
             return
         if by_lender:
             self._recalled[name] = by_lender
         else:
             del self._recalled[name]
-        self._changed(name)
+        self._mark_changed(name)
 
 
 def _sum(rows):
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/tests/test_dominant_shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/tests/test_dominant_shares.py
@@ -1,4 +1,4 @@
-"""What accounts use, and whose turn is next by it."""
+"""Dominant shares of accounts, and the fair order of their steps."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 from thymefork_cells.state import Job, Worker
 from thymefork_cells.tests.virtual_site import job_spec
 
-ROOM = {"cpu_milli": 100_000, "memory_mb": 100_000}
+CAPACITY = {"cpu_milli": 100_000, "memory_mb": 100_000}
 
 
 def make_shares(**weights):
@@ -28,7 +28,7 @@
         configuration=Configuration(version=1, queues=(), accounts=accounts),
     )
     place = {"machine_id": "m", "host": "h", "port": 1, "service": "s", "hall": "h"}
-    entry = WorkerEntry(worker_id="w", **place, **ROOM)
+    entry = WorkerEntry(worker_id="w", **place, **CAPACITY)
     context.workers["w"] = Worker(entry=entry)
     return context, DominantShares(context=context)
 
@@ -53,7 +53,7 @@
     return [step.job.account_name for step in steps]
 
 
-def test_the_larger_part_of_the_room_counts():
+def test_larger_resource_fraction_is_the_share():
     context, shares = make_shares(a=1, b=1)
     jobs = [make_job(context, "a"), make_job(context, "b", memory_mb=30_000)]
     for job in jobs:
@@ -63,7 +63,7 @@
     assert shares.used("b") == pytest.approx(0.3)
 
 
-def test_what_was_held_counts_less_with_time():
+def test_past_usage_decays():
     context, shares = make_shares(a=1)
     job = make_job(context, "a", cpu_milli=50_000)
     job.usage.add(job.spec.steps[0])
@@ -75,7 +75,7 @@
     assert shares.used("a") < 0.01
 
 
-def test_an_account_that_wants_nothing_is_forgotten():
+def test_account_without_live_jobs_is_forgotten():
     context, shares = make_shares(a=1)
     job = make_job(context, "a")
     job.usage.add(job.spec.steps[0])
@@ -84,7 +84,7 @@
     assert shares.used("a") == 0.0
 
 
-def test_the_least_used_goes_first():
+def test_account_with_lowest_share_goes_first():
     context, shares = make_shares(a=1, b=1)
     held = make_job(context, "a", cpu_milli=20_000)
     held.usage.add(held.spec.steps[0])
@@ -93,27 +93,27 @@
     assert names(shares.fair_order(steps_of(jobs))) == ["b", "a"]
 
 
-def test_turns_go_by_weight_and_by_what_steps_want():
+def test_fair_order_follows_weights_and_step_sizes():
     context, shares = make_shares(a=1, b=3)
     jobs = [make_job(context, "a", number) for number in range(4)]
     jobs += [make_job(context, "b", number) for number in range(4)]
     shares.review(jobs, 0.0)
-    turns = names(shares.fair_order(steps_of(jobs)))
-    assert sorted(turns) == ["a"] * 4 + ["b"] * 4
-    assert turns[:5].count("b") == 3
+    ordered = names(shares.fair_order(steps_of(jobs)))
+    assert sorted(ordered) == ["a"] * 4 + ["b"] * 4
+    assert ordered[:5].count("b") == 3
 
 
-def test_an_account_of_wide_jobs_has_as_many_tasks_as_one_of_small():
+def test_accounts_get_equal_tasks_whatever_the_job_width():
     context, shares = make_shares(a=1, b=1)
     jobs = [make_job(context, "a", number, count=8) for number in range(2)]
     jobs += [make_job(context, "b", number) for number in range(16)]
     shares.review(jobs, 0.0)
-    turns = names(shares.fair_order(steps_of(jobs)))
-    assert turns.index("a", turns.index("a") + 1) >= 8
+    ordered = names(shares.fair_order(steps_of(jobs)))
+    assert ordered.index("a", ordered.index("a") + 1) >= 8
 
 
 @pytest.mark.parametrize("holds", [False, True])
-def test_an_account_that_holds_nothing_stands_still(holds):
+def test_account_that_holds_nothing_is_starved_after_delay(holds):
     context, shares = make_shares(a=1)
     job = make_job(context, "a")
     if holds:
@@ -125,7 +125,7 @@
     assert shares.is_starved("a", STARVATION_MS) is not holds
 
 
-def test_an_account_without_a_weight_is_not_followed():
+def test_account_without_weight_is_not_tracked():
     context, shares = make_shares(a=0)
     job = make_job(context, "a")
     job.usage.add(job.spec.steps[0])
--- a/packages/thymefork-cells/src/thymefork_cells/cell.py
+++ b/packages/thymefork-cells/src/thymefork_cells/cell.py
@@ -1,4 +1,4 @@
-"""One cell: a share of the workers of every hall and a share of the jobs."""
+"""A cell: a shard of the jobs and of the workers of every hall."""
 
 from .accounts import JobRateShares, PartExchange, PartsLedger, Quotas
 from .advice.requester import AdviceRequester
@@ -30,14 +30,14 @@
 
 __all__ = ["Cell"]
 
-# Runs are looked over for trouble, and time-outs are applied, this often.
-REVIEW_MS = 100.0
+# Interval of periodic checks and timeouts.
+REVIEW_INTERVAL_MS = 100.0
 
 
 class Cell:
-    """Decide for a cell; each call may add effects, which the owner carries out.
+    """Make the decisions of a cell; the owner performs the emitted effects.
 
-    Units: times on the steady clock in milliseconds.
+    Units: `*_ms` on the steady clock.
     """
 
     def __init__(
@@ -137,22 +137,22 @@
         return self.context.journal
 
     def take_effects(self):
-        """Return what is to be carried out now."""
+        """Return and clear the pending effects."""
         effects = self.context.effects
         self.context.effects = []
         return effects
 
-    # Taking over -------------------------------------------------------------
+    # Takeover ----------------------------------------------------------------
 
     def load(self, records, *, epoch_ms, now_ms):
-        """Bring the cell to the stored state; `records` maps keys to values."""
+        """Load the stored state; `records` maps keys to values."""
         self._loader.load(records, epoch_ms=epoch_ms, now_ms=now_ms)
         self.extended_leases.load(records, self.registry.get_or_add_placeholder, now_ms)
         self.parts.load(records)
         self.quorum.bound_inherited_leases(now_ms)
 
     def on_configuration(self, configuration):
-        """Take a newer configuration."""
+        """Apply a newer configuration."""
         self.context.configuration = configuration
         self.quotas.update_limits(configuration)
         self.context.needs_plan = True
@@ -160,10 +160,10 @@
     # Time --------------------------------------------------------------------
 
     def run_cycle(self, now_ms):
-        """Do all that is due; return when the next turn is due at the latest."""
+        """Do all due work; return when the next cycle is due."""
         self.unstored_ends.announce_if_late(now_ms)
         if now_ms >= self._review_due_ms:
-            self._review_due_ms = now_ms + REVIEW_MS
+            self._review_due_ms = now_ms + REVIEW_INTERVAL_MS
             self.quorum.check(now_ms)
             self.registry.expire(now_ms)
             self.extended_leases.review(now_ms)
@@ -192,12 +192,12 @@
     # Store -------------------------------------------------------------------
 
     def on_stored(self, batch):
-        """Show what an append has made lasting."""
+        """Make the job states of a stored append visible."""
         for job, state in batch.job_states:
             job.visible_state = state
 
     def on_not_stored(self, batch, *, now_ms):
-        """Refuse the new jobs of an append that the store has certainly not done."""
+        """Refuse the new jobs of an append that the store has definitely rejected."""
         new_jobs = {job.job_id for job in batch.new_jobs}
         self.intake.withdraw(batch.new_jobs, now_ms=now_ms)
         replies = batch.take_replies(new_jobs) + self.journal.take_replies(new_jobs)
@@ -212,36 +212,36 @@
     # Other cells -------------------------------------------------------------
 
     def on_parts(self, message, *, now_ms):
-        """Take what another cell's owner says of parts of accounts' limits."""
+        """Handle a limit part message from another cell's owner."""
         self.exchange.on_message(message, now_ms=now_ms)
 
     # Outcomes of effects -----------------------------------------------------
 
     def on_start(self, run, answer, *, now_ms):
-        """Apply the answer to a start."""
+        """Handle the answer to a start."""
         if answer.refusal is Refusal.OTHER_LIFE:
-            # This run never was on the life that is over, so it can't have ended it.
+            # The run never reached the ended incarnation, so it can't have crashed it.
             self.lifecycle.release(run, now_ms=now_ms)
             self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
         self.commands.on_start(run, answer, now_ms=now_ms)
 
     def on_stop(self, run, answer, *, now_ms):
-        """Apply the answer to a stop."""
+        """Handle the answer to a stop."""
         if answer.refusal is Refusal.OTHER_LIFE:
             self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
         self.commands.on_stop(run, answer, now_ms=now_ms)
 
     def on_pace(self, run, percent, answer, *, now_ms):
-        """Apply the answer to an order to pace a run."""
+        """Handle the answer to a pace command."""
         if answer.refusal is Refusal.OTHER_LIFE:
             self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
         self.pacing.on_answer(run, percent, answer, now_ms=now_ms)
 
     def on_report(self, worker, report, last_end, *, quick=False, now_ms):
-        """Apply what a worker lists, unless another life of it is followed."""
+        """Apply a worker's report, unless it is from another incarnation."""
         if worker.is_over:
             return
         born_epoch_ms = report.born_epoch_ms
@@ -267,8 +267,8 @@
         self.poller.on_report(worker, report, last_end, quick=quick, now_ms=now_ms)
 
     def on_other_incarnation(self, worker, *, now_ms):
-        """Apply that another life of a worker answers at its address."""
+        """Handle an answer from another incarnation at a worker's address."""
         worker.is_polling = worker.is_quick_polling = False
         self.registry.end_incarnation(
-            worker, "another life answers there", now_ms=now_ms
+            worker, "another incarnation answers at its address", now_ms=now_ms
         )
--- a/packages/thymefork-cells/src/thymefork_cells/context.py
+++ b/packages/thymefork-cells/src/thymefork_cells/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a cell share."""
+"""State shared by the components of a cell."""
 
 import time
 from collections.abc import Callable
@@ -11,9 +11,7 @@
 
 __all__ = ["WORKER_LIST_MAX_AGE_MS", "CellContext"]
 
-# A list of workers that was read longer ago than this says nothing of a worker's room:
-# one that has shrunk has to be known after contact and a heartbeat, 3.5 s on the
-# quickest sites.
+# Older worker lists are not used to start work: a worker may have shrunk since.
 WORKER_LIST_MAX_AGE_MS = 3_000.0
 
 
@@ -21,12 +19,13 @@
 class CellContext:
     """Hold the jobs, workers and pending effects of one cell under one owner.
 
-    `usages` holds what each client account has running, by name; `pending_stops` holds,
-    as keys in their order, the runs that a worker still has to be told to stop.
-    `advice_slots` tells how many calls for advice may be made now, None for any number.
-    `worker_list_as_of_ms` is since when at the latest the list of workers may have changed
-    unseen; `epoch_ms()` is the time of day. `delays_*` say what an overloaded owner
-    puts off. Units: `*_ms` on the steady clock.
+    `usages` maps client accounts to their usage; `pending_stops` holds, as ordered
+    keys, the runs whose stop the worker has not acknowledged. `advice_slots` is the
+    number of advice calls that may be made now, None if unlimited.
+    `worker_list_as_of_ms` is the time up to which the worker list is known to be
+    current. `defers_*` are set while the owner is overloaded.
+
+    Units: `*_ms` on the steady clock; `epoch_ms()` is the time since 1970.
     """
 
     cell: int
@@ -51,15 +50,15 @@
     epoch_ms: Callable[[], float] = field(default=lambda: time.time() * 1000.0)
 
     def is_worker_list_stale(self, now_ms):
-        """Tell whether the list of workers is too old to start work by.
+        """Return whether the worker list is too old to start work.
 
-        Judged as work is planned and as each start leaves, since a process that was
-        paused goes on with what it knew.
+        Checked when work is planned and again when a start is sent, since the process
+        may have been paused in between.
         """
         return now_ms - self.worker_list_as_of_ms > WORKER_LIST_MAX_AGE_MS
 
     def emit(self, effect):
-        """Have an effect carried out at once."""
+        """Add an effect to be performed at once."""
         self.effects.append(effect)
 
     def note(self, event, level="INFO", **fields):
@@ -67,25 +66,25 @@
         self.effects.append(Note(event=event, level=level, fields=fields))
 
     def count(self, name, reason, amount=1):
-        """Raise a counter."""
+        """Increment a counter."""
         self.effects.append(Count(name=name, reason=reason, amount=amount))
 
     def observe(self, name, value_ms, kind=""):
-        """Put a time into a histogram."""
+        """Record a duration in a histogram."""
         self.effects.append(Observe(name=name, value_ms=value_ms, kind=kind))
 
     def usage_of(self, account_name):
-        """Return what a client account has running here."""
+        """Return the usage of a client account in this cell."""
         if account_name not in self.usages:
             self.usages[account_name] = AccountUsage(name=account_name)
         return self.usages[account_name]
 
     def queue(self, job):
-        """Return the policy of a job's queue, or None once it was removed."""
+        """Return the policy of a job's queue, or None if it was removed."""
         return self.configuration.queue(job.queue_name)
 
     def is_most_urgent(self, job):
-        """Tell whether no queue of the same service is more urgent than a job's."""
+        """Return whether no queue of the same service is more urgent than a job's."""
         own = self.queue(job)
         if own is None:
             return False
--- a/packages/thymefork-cells/src/thymefork_cells/effects/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/__init__.py
@@ -1,4 +1,4 @@
-"""What a cell wants done outside: orders, calls, replies, log lines."""
+"""Effects that a cell emits: commands, calls, messages, replies, log lines."""
 
 from .advice import RequestAdvice
 from .commands import PaceRun, StartRun, StopRun
--- a/packages/thymefork-cells/src/thymefork_cells/effects/advice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/advice.py
@@ -7,9 +7,9 @@
 
 @frozen(kw_only=True, eq=False)
 class RequestAdvice:
-    """Ask which of some workers may run a step.
+    """Ask the advice service which of some workers may run a step.
 
-    Units: `cost_ms` is how long the service works on the call, by its own figures.
+    `cost_ms` is the processing time of the call according to the queue's policy.
     """
 
     step: object
--- a/packages/thymefork-cells/src/thymefork_cells/effects/commands.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/commands.py
@@ -1,4 +1,4 @@
-"""Orders to workers."""
+"""Commands to workers."""
 
 from attrs import frozen
 
@@ -14,14 +14,14 @@
 
 @frozen(kw_only=True, eq=False)
 class StopRun:
-    """Stop a run, or forbid it if it was not carried out yet."""
+    """Stop a run, or prevent its start if that has not arrived yet."""
 
     run: object
 
 
 @frozen(kw_only=True, eq=False)
 class PaceRun:
-    """Let a run work at a share of its speed, in percent."""
+    """Throttle a run to a percentage of its full speed."""
 
     run: object
     percent: int
--- a/packages/thymefork-cells/src/thymefork_cells/effects/parts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/parts.py
@@ -1,6 +1,6 @@
-"""Messages to the owners of other cells about parts of client accounts' limits.
+"""Messages between cell owners about the limit parts of client accounts.
 
-They are effects of the cell that sends them and inputs of the one that takes them.
+They are effects of the sending cell and inputs of the receiving one.
 """
 
 from attrs import frozen
@@ -12,12 +12,12 @@
 
 @frozen(kw_only=True)
 class RequestParts:
-    """Ask a cell to lend parts that it doesn't use, and to give back what it borrowed.
+    """Request idle parts from a cell, and recall parts lent to it.
 
-    `least` lets the first step that waits begin, `most` all that wait; an ask takes the
-    place of the one before. `is_within` tells that the step fits the borrower's own
-    share. Units: `since_epoch_ms` since 1970, when its turn came; 0 where more runs
-    than the borrower holds parts for.
+    `least` lets the first blocked step start, `most` all ready steps. A request
+    replaces the previous one. `is_within` is true if the blocked step fits the
+    borrower's own parts. `since_epoch_ms` is when that step became ready, since 1970; 0
+    if the request is for runs that exceed the parts held.
     """
 
     account: str
@@ -31,26 +31,26 @@
 
     @property
     def covers_runs(self):
-        """Tell whether it asks for parts by which something runs already."""
+        """Return whether it requests parts for runs that already exist."""
         return self.since_epoch_ms == 0
 
     @property
     def order(self):
-        """Return what tells who is served first, the same for all cells."""
+        """Return the sort key for serving requests, the same in all cells."""
         return (not self.is_within, self.since_epoch_ms, self.borrower)
 
     @property
     def to_cell(self):
-        """Return the cell that it is for."""
+        """Return the destination cell."""
         return self.lender
 
 
 @frozen(kw_only=True)
 class GrantParts:
-    """Tell a cell all that is lent to it; stored by the lender before it is sent.
+    """Report all parts lent to a cell; the lender stores the loan before sending it.
 
-    `lender_epoch` and `number` name the grant; a number of 0 grants nothing and only
-    tells what is `free`, which could be lent still.
+    `lender_epoch` and `number` identify the grant; a number of 0 grants nothing and
+    only reports the parts that are still `free` to lend.
     """
 
     account: str
@@ -64,15 +64,15 @@
 
     @property
     def to_cell(self):
-        """Return the cell that it is for."""
+        """Return the destination cell."""
         return self.borrower
 
 
 @frozen(kw_only=True)
 class ReportHeldParts:
-    """Tell a lender what its borrower still counts on, of the grant that it names.
+    """Report to a lender the parts still held under one of its grants.
 
-    A number of 0 tells only which epoch owns the borrowing cell.
+    A number of 0 only reports the borrower's owner epoch.
     """
 
     account: str
@@ -85,5 +85,5 @@
 
     @property
     def to_cell(self):
-        """Return the cell that it is for."""
+        """Return the destination cell."""
         return self.lender
--- a/packages/thymefork-cells/src/thymefork_cells/effects/polls.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/polls.py
@@ -1,4 +1,4 @@
-"""Looks at workers, and what follows from them."""
+"""Polls of workers, and effects of their reports."""
 
 from attrs import frozen
 
@@ -9,12 +9,12 @@
 
 @frozen(kw_only=True, eq=False)
 class PollWorker:
-    """Ask a worker what runs and what has ended.
+    """Ask a worker for its running and ended runs.
 
-    Units: `wait_ms` is how long the worker may hold its answer until a run ends;
-    `lease_ms` how long from now everything there may go on, 0 for no change.
-    `last_end` is the highest end that is stored. A quick look goes beside one that
-    waits, to learn at once what became of an order.
+    `wait_ms` is how long the worker may delay its answer until a run ends (long poll);
+    `lease_ms` is how long all runs there may continue from now, 0 for no renewal.
+    `last_end` is the highest stored end number. A quick poll is sent beside a waiting
+    one, to learn the outcome of a command at once.
     """
 
     worker: object
@@ -26,7 +26,7 @@
 
 @frozen(kw_only=True, eq=False)
 class EndsStored:
-    """Follow an append that holds a worker's ends."""
+    """Report that an append with a worker's run ends is stored."""
 
     worker: object
     last_end: int
@@ -34,21 +34,21 @@
 
 @frozen(kw_only=True, eq=False)
 class AnnounceEnds:
-    """Tell those who may own the cell next of ends that can't be stored now."""
+    """Announce run ends that can't be stored now to possible next owners."""
 
     ends: tuple[HeardEnd, ...]
 
 
 @frozen(kw_only=True, eq=False)
 class AnnounceSpeeds:
-    """Tell those who may own the cell next how fast machines have turned out."""
+    """Announce learned machine speeds to possible next owners."""
 
     speeds: tuple
 
 
 @frozen(kw_only=True, eq=False)
 class OrphanedRun:
-    """Name a run that belongs to no job; it is stopped where it is seen."""
+    """Identify a run that belongs to no job and has to be stopped."""
 
     worker: object
     key: tuple[str, int]
--- a/packages/thymefork-cells/src/thymefork_cells/effects/replies.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/replies.py
@@ -1,4 +1,4 @@
-"""Answers to callers' requests."""
+"""Replies to callers' requests."""
 
 from enum import StrEnum
 
@@ -8,23 +8,23 @@
 
 
 class Outcome(StrEnum):
-    """Name what became of a request."""
+    """Outcome of a request."""
 
     ACCEPTED = "accepted"
     STATE = "state"
     CANCELLED = "cancelled"
     UNKNOWN_JOB = "unknown_job"
     COUNTED = "counted"
-    REFUSED = "refused"  # nothing was kept and nothing will run
-    NOT_ALLOWED = "not_allowed"  # the job is another account's
-    OVER_LIMIT = "over_limit"  # its account may never run it; nothing was kept
-    IN_DOUBT = "in_doubt"  # it may have been kept; the same id may be sent again
+    REFUSED = "refused"  # not stored, will not run
+    NOT_ALLOWED = "not_allowed"  # the job belongs to another account
+    OVER_LIMIT = "over_limit"  # exceeds its account's limit; not stored
+    IN_DOUBT = "in_doubt"  # may be stored; retry with the same id
     NOT_OWNER = "not_owner"  # another instance owns the cell
 
 
 @frozen(kw_only=True, eq=False)
 class Reply:
-    """Answer a request; `retry_after_ms` tells when to come back, 0 if unknown."""
+    """Reply to a request; `retry_after_ms` is 0 if unknown."""
 
     request_id: object
     outcome: Outcome
--- a/packages/thymefork-cells/src/thymefork_cells/effects/telemetry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/telemetry.py
@@ -1,4 +1,4 @@
-"""Log lines, counters and histograms."""
+"""Log lines and metrics."""
 
 from attrs import field, frozen
 
@@ -16,7 +16,7 @@
 
 @frozen(kw_only=True, eq=False)
 class Count:
-    """Raise a counter."""
+    """Increment a counter."""
 
     name: str
     reason: str
@@ -25,7 +25,10 @@
 
 @frozen(kw_only=True, eq=False)
 class Observe:
-    """Put a time in milliseconds into a histogram."""
+    """Record a duration in a histogram.
+
+    Units: milliseconds.
+    """
 
     name: str
     value_ms: float
--- a/packages/thymefork-cells/src/thymefork_cells/hashing.py
+++ b/packages/thymefork-cells/src/thymefork_cells/hashing.py
@@ -1,4 +1,4 @@
-"""Where jobs and workers belong."""
+"""Assignment of jobs and workers to cells."""
 
 import xxhash
 
@@ -6,5 +6,5 @@
 
 
 def cell_of(name, cell_count):
-    """Return the cell that a job's or machine's name belongs to."""
+    """Return the cell of a job id or machine id."""
     return xxhash.xxh32_intdigest(name.encode()) % cell_count
--- a/packages/thymefork-cells/src/thymefork_cells/reports.py
+++ b/packages/thymefork-cells/src/thymefork_cells/reports.py
@@ -1,4 +1,4 @@
-"""What a worker lists when it is looked at."""
+"""Reports of workers in answer to a poll."""
 
 from attrs import frozen
 
@@ -7,7 +7,10 @@
 
 @frozen(kw_only=True)
 class RunRow:
-    """Hold a running task as a worker lists it; the tail is in milliseconds."""
+    """A running task in a worker's report.
+
+    Units: `load` is the tail latency in milliseconds.
+    """
 
     task: str
     run_id: int
@@ -18,7 +21,7 @@
 
 @frozen(kw_only=True)
 class EndRow:
-    """Hold an end that the worker still remembers, by its number."""
+    """An ended run in a worker's report, with its end number."""
 
     number: int
     task: str
@@ -29,7 +32,7 @@
 
 @frozen(kw_only=True)
 class HeardEnd:
-    """Hold an end that one life of a worker has listed, for another owner."""
+    """A run end reported by a worker, as passed on to another owner."""
 
     worker_id: str
     task: str
@@ -45,10 +48,11 @@
 
 @frozen(kw_only=True)
 class WorkerReport:
-    """Hold what a worker lists.
+    """Running and ended runs of a worker.
+
+    `born_epoch_ms` is when its incarnation began, 0 if it does not report it.
 
-    Units: `clock_ms` on the worker's clock; `born_epoch_ms`, when its life began, since
-    1970, 0 from one that does not tell.
+    Units: `clock_ms` on the worker's clock, `born_epoch_ms` since 1970.
     """
 
     clock_ms: int
--- a/packages/thymefork-cells/src/thymefork_cells/specs/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/__init__.py
@@ -1,4 +1,4 @@
-"""What callers, operators and workers say of jobs, queues and workers."""
+"""Specifications of jobs, queues, accounts and workers."""
 
 from .account_policy import AccountPolicy, ResourceLimit
 from .bounds import Bounds
--- a/packages/thymefork-cells/src/thymefork_cells/specs/account_policy.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/account_policy.py
@@ -1,4 +1,4 @@
-"""What the operators allow a client account."""
+"""Configured limits of a client account."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class ResourceLimit:
-    """Bound what may run at once; 0 sets no bound, -1 allows nothing.
+    """Limit the resources in use at once; 0 means unlimited, -1 allows nothing.
 
     Units: thousandths of a core, megabytes, accelerators.
     """
@@ -17,7 +17,7 @@
     accelerators: int = 0
 
     def part(self, parts, whole):
-        """Return what parts of the whole limit allow; a bound never becomes none."""
+        """Return the limit scaled to some of its parts; a bound never becomes 0."""
         return ResourceLimit(
             cpu_milli=_part(self.cpu_milli, parts.cpu, whole),
             memory_mb=_part(self.memory_mb, parts.memory, whole),
@@ -31,10 +31,10 @@
 
 @frozen(kw_only=True)
 class AccountPolicy:
-    """Hold what the operators' configuration says of one client account.
+    """Configuration of one client account.
 
-    `key_digests` are of the keys that its callers send. `weight` is the account's
-    share once all is full, in jobs a second; 0 promises nothing.
+    `key_digests` are the digests of its API keys. `weight` is the job rate share under
+    overload, in jobs per second; 0 guarantees nothing.
     """
 
     name: str
--- a/packages/thymefork-cells/src/thymefork_cells/specs/bounds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/bounds.py
@@ -1,4 +1,4 @@
-"""The times and limits that the deployment sets."""
+"""Time limits set by the deployment."""
 
 from attrs import frozen
 
@@ -7,11 +7,12 @@
 
 @frozen(kw_only=True)
 class Bounds:
-    """Hold the bounds that decisions depend on.
+    """Time limits that decisions depend on.
 
-    A member of a gang waits `gang_wait_ms` for the others and then ends.
-    Units: milliseconds. Source: the settings of the process; the defaults are those
-    of today's two sites.
+    A gang member waits `gang_wait_ms` for the others and then ends.
+
+    Units: milliseconds.
+    Source: the settings of the process.
     """
 
     stop_timeout_ms: float = 200.0
--- a/packages/thymefork-cells/src/thymefork_cells/specs/configuration.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration in force."""
+"""The configuration of queues, services and accounts."""
 
 from hashlib import blake2b
 
@@ -10,20 +10,20 @@
 
 __all__ = ["Configuration", "key_digest"]
 
-# Long enough that no two keys share one.
 DIGEST_BYTES = 16
 
 
 def key_digest(key):
-    """Return the digest by which a caller's key is kept."""
+    """Return the digest under which an API key is stored."""
     return blake2b(key.encode(), digest_size=DIGEST_BYTES).digest()
 
 
 @frozen(kw_only=True)
 class Configuration:
-    """Hold one version of the queues, services, client accounts and limits.
+    """One version of the queues, services, client accounts and HTTP limits.
+
+    `accounts` is None if the deployment has none: its queues are open to all.
 
-    `accounts` is None where the deployment has none: its queues are open to all.
     Units: bytes and milliseconds.
     """
 
@@ -66,23 +66,23 @@
         }
 
     def wants_key(self, queue):
-        """Tell whether callers of a queue have to show an account's key."""
+        """Return whether callers of a queue need an account's key."""
         return self.accounts is not None and not queue.is_public
 
     def account(self, name):
-        """Return the client account of that name, or None."""
+        """Return the client account with a name, or None."""
         return self._accounts.get(name)
 
     def account_of_key(self, key):
-        """Return the client account that a key belongs to, or None."""
+        """Return the client account of an API key, or None."""
         return self._by_digest.get(key_digest(key))
 
     def queue(self, name):
-        """Return the queue of that name, or None."""
+        """Return the queue with a name, or None."""
         return self._by_name.get(name)
 
     def queue_for(self, host, path):
-        """Return the queue with the longest prefix of the path, or None."""
+        """Return the queue with the longest matching path prefix, or None."""
         for queue in self._by_host.get(host, ()):
             if path.startswith(queue.path_prefix):
                 return queue
--- a/packages/thymefork-cells/src/thymefork_cells/specs/job_spec.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/job_spec.py
@@ -1,4 +1,4 @@
-"""A job as its caller submitted it."""
+"""Specification of a job as submitted by its caller."""
 
 from attrs import frozen
 
@@ -9,10 +9,11 @@
 
 @frozen(kw_only=True)
 class JobSpec:
-    """Hold a payload for the workers and the steps to run.
+    """Payload for the workers, and the steps to run.
+
+    A `repeat_count` of 0 runs the steps once, immediately.
 
     Units: `first_start_epoch_ms` since 1970, `interval_ms` in milliseconds.
-    `repeat_count` 0 means that the steps run once, at once.
     """
 
     payload: str = ""
@@ -28,5 +29,5 @@
 
     @property
     def task_count(self):
-        """Return how many tasks the job has in all."""
+        """Return the total number of tasks."""
         return self.occurrences * sum(step.count for step in self.steps)
--- a/packages/thymefork-cells/src/thymefork_cells/specs/limit_parts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/limit_parts.py
@@ -1,20 +1,19 @@
-"""Parts of a client account's limit."""
+"""Fractions of a client account's limit, which cells lend to each other."""
 
 from attrs import frozen
 
 __all__ = ["PARTS_PER_CELL", "LimitParts"]
 
-# A limit is cut into so many parts for each cell: each cell's own share is a whole
-# number of them, and one is less of any limit than a task asks for.
+# Large enough that one part of any limit is less than a task needs.
 PARTS_PER_CELL = 1_000_000
 
 
 @frozen(kw_only=True)
 class LimitParts:
-    """Count parts of a limit, for each kind of room that it bounds.
+    """Number of parts of a limit, for each resource.
 
-    Parts rather than room pass between cells, so that what all cells hold is never more
-    than the whole, whichever version of the limit each of them goes by.
+    Cells exchange parts rather than resources, so that together they never hold more
+    than the whole limit, even while they use different versions of it.
     """
 
     cpu: int = 0
@@ -23,27 +22,27 @@
 
     @classmethod
     def all_of(cls, parts):
-        """Return as many parts of each kind."""
+        """Return the same number of parts of each resource."""
         return cls(cpu=parts, memory=parts, accelerators=parts)
 
     @classmethod
     def from_row(cls, row):
-        """Return the parts that `row` was made of."""
+        """Return the parts of a `row`."""
         cpu, memory, accelerators = row
         return cls(cpu=cpu, memory=memory, accelerators=accelerators)
 
     @classmethod
-    def from_resources(cls, room, limit, whole):
-        """Return the parts that room takes, rounded up; none where there's no bound."""
+    def from_resources(cls, resources, limit, whole):
+        """Return the parts that resources need, rounded up; 0 if unlimited."""
         return cls(
-            cpu=_parts(room.cpu_milli, limit.cpu_milli, whole),
-            memory=_parts(room.memory_mb, limit.memory_mb, whole),
-            accelerators=_parts(room.accelerators, limit.accelerators, whole),
+            cpu=_parts(resources.cpu_milli, limit.cpu_milli, whole),
+            memory=_parts(resources.memory_mb, limit.memory_mb, whole),
+            accelerators=_parts(resources.accelerators, limit.accelerators, whole),
         )
 
     @property
     def row(self):
-        """Return the parts of each kind, in the order of messages and records."""
+        """Return the parts of each resource, in the order of messages and records."""
         return (self.cpu, self.memory, self.accelerators)
 
     def __bool__(self):
@@ -53,19 +52,19 @@
         return self._with(other, lambda own, others: own + others)
 
     def minus(self, other):
-        """Return what is left without others, none at least."""
+        """Return the difference, at least 0."""
         return self._with(other, lambda own, others: max(0, own - others))
 
     def elementwise_min(self, other):
-        """Return the lesser of each kind."""
+        """Return the smaller of each resource."""
         return self._with(other, min)
 
     def elementwise_max(self, other):
-        """Return the greater of each kind."""
+        """Return the larger of each resource."""
         return self._with(other, max)
 
     def share(self, weight, of_weights):
-        """Return a share of them, rounded up."""
+        """Return the proportion of a weight, rounded up."""
         return LimitParts.from_row(
             [-(-parts * weight // of_weights) for parts in self.row]
         )
@@ -78,5 +77,5 @@
         return LimitParts.from_row(map(combine, self.row, other.row))
 
 
-def _parts(room, bound, whole):
-    return -(-room * whole // bound) if bound else 0
+def _parts(resources, bound, whole):
+    return -(-resources * whole // bound) if bound else 0
--- a/packages/thymefork-cells/src/thymefork_cells/specs/queue_policy.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/queue_policy.py
@@ -1,4 +1,4 @@
-"""How the operators want a queue's jobs to be run."""
+"""Configuration of a queue."""
 
 from attrs import frozen
 
@@ -7,9 +7,9 @@
 
 @frozen(kw_only=True)
 class AdvicePolicy:
-    """Describe the cost of a call to the advice service.
+    """Cost of a call to the advice service, and validity of its tickets.
 
-    Units: milliseconds for the call, for each worker named, and of a ticket's life.
+    Units: milliseconds.
     """
 
     decision_ms: float
@@ -19,10 +19,12 @@
 
 @frozen(kw_only=True)
 class QueuePolicy:
-    """Hold what the operators' configuration says of one queue.
+    """Configuration of one queue.
 
-    Units: milliseconds; `stretch` is a factor on a job's longest chain of work.
-    Callers of a public queue need no key.
+    A job's latency objective is `target_latency_ms` plus `stretch` times its critical
+    path. Callers of a public queue need no API key.
+
+    Units: milliseconds.
     """
 
     name: str
--- a/packages/thymefork-cells/src/thymefork_cells/specs/service_policy.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/service_policy.py
@@ -1,4 +1,4 @@
-"""How the operators want a service's workers to be used."""
+"""Configuration of a service."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class ServicePolicy:
-    """Hold what the operators' configuration says of one service."""
+    """Configuration of one service."""
 
     name: str
     max_connections: int = 64
--- a/packages/thymefork-cells/src/thymefork_cells/specs/step_spec.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/step_spec.py
@@ -1,4 +1,4 @@
-"""One step of a job: tasks that are alike."""
+"""Specification of a step: a number of identical tasks."""
 
 from attrs import frozen
 
@@ -7,10 +7,12 @@
 
 @frozen(kw_only=True)
 class StepSpec:
-    """Describe the tasks of a step.
+    """Specification of the tasks of a step.
+
+    `most_per_worker` and `most_missing` of 0 set no limit.
 
     Units: `cpu_milli` in thousandths of a core, memory in megabytes, times in
-    milliseconds. `most_per_worker` and `most_missing` of 0 set no bound.
+    milliseconds.
     """
 
     count: int = 1
@@ -34,5 +36,5 @@
 
     @property
     def reserved_cpu_milli(self):
-        """Return the processor share a task takes of a worker's room."""
+        """Return the cpu that a task reserves on a worker."""
         return 0 if self.fills_idle_cpu else self.cpu_milli
--- a/packages/thymefork-cells/src/thymefork_cells/specs/worker_entry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/worker_entry.py
@@ -1,4 +1,4 @@
-"""What the platform's list says of one life of a worker."""
+"""Entry of the platform's worker list."""
 
 from attrs import frozen
 
@@ -7,13 +7,14 @@
 
 @frozen(kw_only=True)
 class WorkerEntry:
-    """Describe a worker.
+    """Describe one incarnation of a worker.
 
-    Units: thousandths of a core, megabytes, milliseconds. `leaves_in_ms` is the
-    least time left of a draining worker, 0 where it is not known. `born_epoch_ms` is
-    when this life began, since 1970, 0 from a worker that does not tell. An entry that
-    `is_lapsed` went while the store was away: the worker may live, but how much room it
-    has now is not known.
+    `leaves_in_ms` is the minimum time left of a draining worker, 0 if unknown.
+    `born_epoch_ms` is when the incarnation began, since 1970, 0 if the worker does not
+    report it. An entry that `is_lapsed` disappeared while the store was unavailable:
+    the worker may be alive, but its present capacity is unknown.
+
+    Units: thousandths of a core, megabytes, milliseconds.
     """
 
     worker_id: str
@@ -34,5 +35,5 @@
 
     @property
     def incarnation(self):
-        """Return what tells this life from all others."""
+        """Return the identifier of this incarnation."""
         return (self.worker_id, self.born_epoch_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/state/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/__init__.py
@@ -1,4 +1,4 @@
-"""What a cell knows of jobs, runs and workers while they live."""
+"""In-memory state of a cell's jobs, runs and workers."""
 
 from .account_usage import AccountUsage
 from .advice_slots import LONG_CALL_MS, AdviceSlots
--- a/packages/thymefork-cells/src/thymefork_cells/state/account_usage.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/account_usage.py
@@ -1,4 +1,4 @@
-"""What a client account has running in a cell."""
+"""Resources that a client account uses in a cell."""
 
 from attrs import define
 
@@ -7,7 +7,7 @@
 
 @define(kw_only=True, eq=False)
 class AccountUsage:
-    """Add up the room that an account's runs may hold, until they are surely gone.
+    """Sum the resources of an account's runs, until each is certain to be gone.
 
     Units: thousandths of a core, megabytes, accelerators.
     """
@@ -18,19 +18,19 @@
     accelerators: int = 0
 
     def add(self, step, runs=1):
-        """Take the room of runs of a step."""
+        """Add the resources of runs of a step."""
         self.cpu_milli += runs * step.reserved_cpu_milli
         self.memory_mb += runs * step.memory_mb
         self.accelerators += runs * step.accelerators
 
     def remove(self, step):
-        """Free a run's room."""
+        """Subtract the resources of one run of a step."""
         self.cpu_milli -= step.reserved_cpu_milli
         self.memory_mb -= step.memory_mb
         self.accelerators -= step.accelerators
 
     def tasks_allowed(self, step, limit):
-        """Return how many more tasks of a step a limit allows; all of them at most."""
+        """Return how many more tasks of a step a limit allows, at most its count."""
         wants = (
             (step.reserved_cpu_milli, self.cpu_milli, limit.cpu_milli),
             (step.memory_mb, self.memory_mb, limit.memory_mb),
--- a/packages/thymefork-cells/src/thymefork_cells/state/advice_slots.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/advice_slots.py
@@ -1,32 +1,32 @@
-"""How many calls to the advice service can be made at once."""
+"""Free slots for calls to the advice service."""
 
 from attrs import define
 
 __all__ = ["LONG_CALL_MS", "AdviceSlots"]
 
-# Calls that cost more than this are long: they go to some of the instances only, so
-# that a short call never waits behind one everywhere.
+# Calls that cost more than this go only to some of the instances, so that a short call
+# always finds an instance without a long one.
 LONG_CALL_MS = 150.0
 
 
 @define(kw_only=True)
 class AdviceSlots:
-    """Count the instances that are free for a call now.
+    """Count the instances that can make a call now.
 
-    `any_call` counts all of them, `long_call` those that take long calls, too.
+    `any_call` counts all of them, `long_call` those that also accept long calls.
     """
 
     any_call: int
     long_call: int
 
     def has_capacity(self, cost_ms):
-        """Tell whether an instance is free for a call that costs so much."""
+        """Return whether an instance is free for a call of this cost."""
         if self.any_call <= 0:
             return False
         return cost_ms <= LONG_CALL_MS or self.long_call > 0
 
     def take(self, cost_ms):
-        """Take an instance for a call; tell whether there was one."""
+        """Take a slot for a call; return whether one was free."""
         if not self.has_capacity(cost_ms):
             return False
         is_long = cost_ms > LONG_CALL_MS
--- a/packages/thymefork-cells/src/thymefork_cells/state/job.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/job.py
@@ -1,4 +1,4 @@
-"""A job that was accepted."""
+"""An accepted job."""
 
 from enum import StrEnum
 
@@ -12,7 +12,7 @@
 
 
 class JobState(StrEnum):
-    """Name the states of a job that its caller sees."""
+    """States of a job as its caller sees them."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -22,18 +22,19 @@
 
     @property
     def is_final(self):
-        """Tell whether the job has ended."""
+        """Return whether the state is final."""
         return self in (JobState.SUCCEEDED, JobState.FAILED, JobState.CANCELLED)
 
 
 @define(kw_only=True, eq=False)
 class Job:
-    """Follow a job.
+    """Track a job.
+
+    `state` is the decided state, `visible_state` the stored one that callers may see.
+    `usage` is shared by all jobs of the client account. `is_beyond_share` is set if the
+    account had exceeded its job rate share when the job arrived, `has_run` once a
+    worker has reported a run of it.
 
-    `state` is what was decided, `visible_state` what is stored and so may be told.
-    `usage` is what all jobs of its client account hold; `is_beyond_share` tells that
-    the account had sent more than its share when the job came; `has_run` that a worker
-    has told of a run of it.
     Units: `*_ms` on the steady clock.
     """
 
@@ -56,7 +57,7 @@
 
     @classmethod
     def create(cls, *, job_id, spec, now_ms, **fields):
-        """Make a job with all its steps and tasks waiting."""
+        """Create a job with all its steps and tasks waiting."""
         job = cls(
             job_id=job_id,
             spec=spec,
@@ -69,15 +70,15 @@
         return job
 
     def step(self, occurrence, index):
-        """Return the state of a step at an occurrence."""
+        """Return the state of a step in an occurrence of the job."""
         return self.steps[occurrence * len(self.spec.steps) + index]
 
     def due_ms(self, occurrence):
-        """Return the steady moment at which an occurrence may start."""
+        """Return when an occurrence may start."""
         return self.first_start_ms + occurrence * self.spec.interval_ms
 
     def is_step_due(self, step, now_ms, early_ms=0.0):
-        """Tell whether a step's tasks may be started now."""
+        """Return whether a step's tasks may be started now."""
         if now_ms + early_ms < self.due_ms(step.occurrence):
             return False
         return all(
@@ -86,12 +87,12 @@
 
     @property
     def is_live(self):
-        """Tell whether the job still has something to run."""
+        """Return whether the job has not ended."""
         return not self.state.is_final
 
     @property
     def is_over(self):
-        """Tell whether the job has ended and nothing of it may still run."""
+        """Return whether the job has ended and no run of it may exist."""
         return self.state.is_final and not self.runs
 
     @property
@@ -101,10 +102,9 @@
 
     @property
     def worked_ms(self):
-        """Return the longest chain of its steps' work, as far as it was seen.
+        """Return the critical path of the task durations observed so far.
 
-        The longest tenth of a step's tasks is left out: a run with a long tail is no
-        part of the work that was asked for.
+        The slowest tenth of each step's tasks is ignored, to exclude stragglers.
         """
         longest_ms = 0.0
         for occurrence in range(self.spec.occurrences):
@@ -112,13 +112,13 @@
             for index, step_spec in enumerate(self.spec.steps):
                 tasks = self.step(occurrence, index).tasks
                 before_ms = max((ends_ms[n] for n in step_spec.after), default=0.0)
-                ends_ms.append(before_ms + _work_of(tasks))
+                ends_ms.append(before_ms + _trimmed_work_ms(tasks))
             longest_ms = max(longest_ms, *ends_ms)
         return longest_ms
 
     @property
     def chain_length(self):
-        """Return how many steps follow each other at most."""
+        """Return the length of the longest chain of dependent steps."""
         lengths = []
         for step in self.spec.steps:
             before = max((lengths[earlier] for earlier in step.after), default=0)
@@ -127,19 +127,19 @@
 
     @property
     def has_started(self):
-        """Tell whether a start of any task was ever decided."""
+        """Return whether any task was ever started."""
         return any(task.run_count for step in self.steps for task in step.tasks)
 
     @property
     def is_long_running(self):
-        """Tell whether the job runs until it is cancelled."""
+        """Return whether the job runs until it is cancelled."""
         return any(step.spec.long_running for step in self.steps)
 
 
-def _work_of(tasks):
-    """Return what the longest of a step's tasks took, but for the last tenth."""
-    seen_ms = sorted(task.worked_ms for task in tasks if task.worked_ms)
-    return seen_ms[9 * (len(seen_ms) - 1) // 10] if seen_ms else 0.0
+def _trimmed_work_ms(tasks):
+    """Return the longest duration of a step's tasks without the slowest tenth."""
+    durations_ms = sorted(task.worked_ms for task in tasks if task.worked_ms)
+    return durations_ms[9 * (len(durations_ms) - 1) // 10] if durations_ms else 0.0
 
 
 def _step_state(job, occurrence, index, step_spec):
--- a/packages/thymefork-cells/src/thymefork_cells/state/run.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/run.py
@@ -1,4 +1,4 @@
-"""One start of a task on one worker."""
+"""One run of a task on one worker."""
 
 from enum import Enum, auto
 
@@ -10,32 +10,32 @@
 
 
 class RunState(Enum):
-    """Tell how far a run has come."""
+    """States of a run."""
 
-    INTENDED = auto()  # its intent is not stored yet; nothing was sent
-    SENT = auto()  # the start was sent and is not answered yet
-    LIVE = auto()  # the worker has confirmed it
-    STOPPING = auto()  # it must not go on, or may yet be carried out
-    RECOVERED = auto()  # a predecessor intended it; the worker was not asked yet
-    GONE = auto()  # it does not run and never will
+    INTENDED = auto()  # intent not stored yet, nothing sent
+    SENT = auto()  # start sent, not answered yet
+    LIVE = auto()  # confirmed by the worker
+    STOPPING = auto()  # must stop, or its start may still arrive
+    RECOVERED = auto()  # from a previous owner, worker not polled yet
+    GONE = auto()  # does not run and never will
 
 
 @define(kw_only=True, eq=False)
 class Run:
-    """Follow one start; it takes room on its worker until it is gone.
-
-    `suspected_ms` is when its start was given up as unanswered, 0 if it was not;
-    `stop_pending_since_ms` is when it was decided that the worker has to be told to stop it,
-    `stop_due_ms` when the order is to be sent next. `pace_percent` is the share of its
-    speed that it is wanted to work at, `acknowledged_pace_percent` the one that its worker has
-    taken, None if that is not known. `born_epoch_ms` tells the life of the worker that
-    its start was meant for. Where the worker has started again since, `successor` is
-    the run that is counted there in its place; that one `is_carried_over`, and unless
-    it is found there, its `earlier_loss`, if any, counts against its task.
-    One that `is_speed_learned` was learned from by its progress.
-    Of one that `started_by_previous_owner` this owner came, `began_ms` is when it was found.
-    `gang_slowness` is that of the slowest worker on which its gang was started, 0 for
-    runs of no gang.
+    """Track one run; it holds capacity on its worker until it is gone.
+
+    `suspected_ms` is when its start timed out unanswered, 0 if it did not.
+    `stop_pending_since_ms` is when it was decided to stop the run, `stop_due_ms` when
+    the stop is to be sent next. `pace_percent` is the wanted share of full speed,
+    `acknowledged_pace_percent` the one that the worker confirmed, None if unknown.
+    `born_epoch_ms` identifies the worker incarnation that the start was sent to. If the
+    worker has restarted since, `successor` is the run that replaces this one there; it
+    `is_carried_over`, and its `earlier_loss`, if any, counts against the task unless
+    the worker reports it. `is_speed_learned` is set once the run's progress was used to
+    learn the worker's speed. For a run that was `started_by_previous_owner`, `began_ms`
+    is when this owner first saw it. `gang_slowness` is that of the gang's slowest
+    worker, 0 outside of gangs.
+
     Units: `*_ms` on the steady clock, `*_clock_ms` on the worker's clock.
     """
 
@@ -71,49 +71,43 @@
     gang_slowness: float = 0.0
 
     @born_epoch_ms.default
-    def _life_of_worker(self):
+    def _default_incarnation(self):
         return self.worker.born_epoch_ms
 
     @property
     def is_of_earlier_incarnation(self):
-        """Tell whether its start was meant for a life of its worker that is over."""
+        """Return whether its start was sent to an earlier incarnation."""
         return 0 < self.born_epoch_ms < self.worker.born_epoch_ms
 
     @property
     def step(self):
-        """Return the description of the run's step."""
+        """Return the specification of the run's step."""
         return self.task.step.spec
 
     @property
     def slowness(self):
-        """Return how much longer it takes than ordinary, by the nature of its worker.
-
-        A gang ends with its slowest member.
-        """
+        """Return the factor by which its worker, or slowest gang member, is slower."""
         return self.gang_slowness or self.worker.slowness
 
     @property
     def has_known_duration(self):
-        """Tell whether its time so far is that of its task from the beginning."""
+        """Return whether its whole duration was seen by this owner."""
         if self.state is not RunState.LIVE or not self.began_ms:
             return False
         return not self.resumed and not self.started_by_previous_owner
 
     @property
     def key(self):
-        """Return the name that the worker lists it by."""
+        """Return the key under which the worker reports it."""
         return (self.task.name, self.run_id)
 
     @property
     def was_sent(self):
-        """Tell whether its start has left, so that its worker may have begun it."""
+        """Return whether its start was sent, so that it may exist."""
         return self.state is not RunState.INTENDED
 
     def age_at_silence_ms(self, now_ms):
-        """Return for how long at most it was at work when its worker fell silent.
-
-        None where its start was not seen by this owner.
-        """
+        """Return its maximum age when its worker fell silent, None if unknown."""
         if not self.began_ms:
             return None
         return max(
@@ -122,12 +116,12 @@
 
     @property
     def was_absent(self):
-        """Tell whether its worker, asked after its start was sent, did not have it."""
-        was_seen = self.listed_ms > 0 or self.confirmed_clock_ms > 0
-        return not was_seen and 0 < self.began_ms <= self.worker.answered_poll_ms
+        """Return whether its worker, polled after the start, did not report it."""
+        was_reported = self.listed_ms > 0 or self.confirmed_clock_ms > 0
+        return not was_reported and 0 < self.began_ms <= self.worker.answered_poll_ms
 
     def may_have_crashed(self, now_ms):
-        """Tell whether its worker fell silent soon after its start."""
+        """Return whether its worker fell silent soon after its start."""
         if not self.was_sent or not self.worker.is_silent(now_ms):
             return False
         age_ms = self.age_at_silence_ms(now_ms)
@@ -135,20 +129,20 @@
 
     @property
     def is_suspect(self):
-        """Tell whether its start was not answered and the worker has not listed it."""
+        """Return whether its start was not answered and it was not reported."""
         return self.state is RunState.SENT and self.suspected_ms > 0
 
     @property
     def is_live(self):
-        """Tell whether its worker has confirmed it and it may go on."""
+        """Return whether its worker has confirmed it and it may continue."""
         return self.state is RunState.LIVE
 
     @property
     def may_continue(self):
-        """Tell whether it may go on, as far as is known."""
+        """Return whether it is not known to have to stop."""
         return self.is_active or self.state is RunState.RECOVERED
 
     @property
     def is_active(self):
-        """Tell whether the run works, or will, towards its task's end."""
+        """Return whether the run works, or will work, on its task."""
         return self.state in (RunState.INTENDED, RunState.SENT, RunState.LIVE)
--- a/packages/thymefork-cells/src/thymefork_cells/state/step_state.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/step_state.py
@@ -1,4 +1,4 @@
-"""One step of a job at one of its times."""
+"""One step of a job in one of its occurrences."""
 
 from attrs import define, field, frozen
 
@@ -7,7 +7,10 @@
 
 @frozen(kw_only=True)
 class Ticket:
-    """Hold a policy's permission for a worker; `until_ms` is on the steady clock."""
+    """Permission of the advice service to run a step on a worker.
+
+    Units: `until_ms` on the steady clock.
+    """
 
     text: str
     until_ms: float
@@ -15,7 +18,7 @@
 
 @define(kw_only=True, eq=False)
 class StepState:
-    """Follow the tasks of a step at one occurrence of its job.
+    """Track the tasks of a step in one occurrence of its job.
 
     Units: `*_ms` on the steady clock.
     """
@@ -45,12 +48,12 @@
 
     @property
     def name(self):
-        """Return the name that the advice service knows the step by."""
+        """Return the name under which the advice service knows the step."""
         return f"{self.job.job_id}.{self.occurrence}.{self.index}"
 
     @property
     def is_done(self):
-        """Tell whether every task has ended well."""
+        """Return whether every task has succeeded."""
         return self.tasks_remaining == 0
 
     @property
@@ -61,24 +64,24 @@
         return self._waiting
 
     def longest_wait_ms(self, now_ms):
-        """Return for how long a task has waited since its turn or its last run."""
+        """Return the longest wait of a task since it was ready or lost a run."""
         if not self.ready:
             return 0.0
         since_ms = [max(self.ready_ms, task.last_lost_ms) for task in self.waiting]
         return now_ms - min(since_ms, default=now_ms)
 
     def invalidate_waiting(self):
-        """Note that a task was started, lost a run or ended."""
+        """Clear the cached waiting tasks after a task was started or lost a run."""
         self._waiting = None
 
     def members(self, run_id):
-        """Return the runs that a run number has now, over all tasks."""
+        """Return the runs of all tasks that have this run number."""
         return [run for task in self.tasks for run in task.runs if run.run_id == run_id]
 
     def is_gang_complete(self, run_id):
-        """Tell whether all members of a gang were seen on their workers.
+        """Return whether all members of a gang were seen on their workers.
 
-        Their work begins once all are present, so progress of one tells the same.
+        A gang begins work once all are present, so progress of one member is enough.
         """
         members = self.members(run_id)
         if any(run.percent > 0 for run in members):
@@ -86,7 +89,7 @@
         return len(members) == len(self.tasks) and all(run.is_live for run in members)
 
     def runs_per_worker(self):
-        """Return how many runs of the step each worker holds, by worker id."""
+        """Return the number of the step's runs by worker id."""
         counts = {}
         for task in self.tasks:
             for run in task.runs:
@@ -95,7 +98,7 @@
         return counts
 
     def ticket_for(self, worker_id, now_ms):
-        """Return the text of a ticket that is still valid, or None."""
+        """Return the text of a valid ticket, or None."""
         ticket = self.tickets.get(worker_id)
         if ticket is None or ticket.until_ms <= now_ms:
             return None
--- a/packages/thymefork-cells/src/thymefork_cells/state/task.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/task.py
@@ -6,21 +6,20 @@
 
 __all__ = ["Task"]
 
-# More copies than this of one task would waste more than they save.
+# Most runs of one task at a time, speculative copies included.
 MAX_COPIES = 3
-# A task gets no copy once this many workers seem to be lost under it.
+# A task gets no copy once it may have crashed this many workers.
 MAX_SUSPECTED_CRASHES = 2
 
 
 @define(kw_only=True, eq=False)
 class Task:
-    """Follow a task through its runs.
+    """Track a task and its runs.
 
     `run_count` is the highest run number used; run numbers only rise. `worked_ms` is
-    how long the run that ended well would have taken on an ordinary worker, 0 if
-    another owner saw its start. `expired_runs`
-    holds the runs whose leases were thought over before their end was heard; `losses`
-    holds the workers that were lost under it, by their lives.
+    the duration of the successful run, normalized to a worker of ordinary speed, 0 if
+    another owner started it. `expired_runs` holds the runs presumed dead when their
+    leases expired without a reported end; `losses` maps worker incarnations to losses.
     """
 
     step: object
@@ -40,32 +39,29 @@
 
     @property
     def is_waiting(self):
-        """Tell whether the task has to be started and nothing of it may run."""
+        """Return whether the task is not done and no run of it may exist."""
         return not self.done and not self.runs
 
     def suspected_crashes(self, now_ms):
-        """Return how many workers it may have crashed, one that is silent included.
+        """Return how many workers it may have crashed.
 
-        That a silent one was crashed is known only once its machine is back, or its
-        leases are over, 3 s later. Counted then alone, a task that may have copies
-        crashed three workers within 90 ms. A run that was at work for longer before its
-        worker fell silent is most likely cut off, and its copies are wanted.
+        Workers that fell silent soon after the task's start count at once, before the
+        crash is certain, so that copies don't crash further workers meanwhile.
         """
         return len(self.losses) + sum(run.may_have_crashed(now_ms) for run in self.runs)
 
     @property
     def may_crash_workers(self):
-        """Tell whether its losses, if any, speak for its doing."""
+        """Return whether its losses suggest that it crashes its workers."""
         if len(self.losses) == 1:
             return any(loss.was_early for loss in self.losses.values())
         return bool(self.losses) and have_similar_timing(self.losses.values())
 
     def wants_copy(self, is_behind, now_ms):
-        """Tell whether a further run may, and should, go beside those that exist.
+        """Return whether a speculative copy should be started.
 
-        `is_behind` tells of a run whether a new one would end sooner; copies are for
-        steps that allow them, where no run is likely to end in time. A task under which
-        two workers seem lost has one run at a time.
+        `is_behind(run)` returns whether a new run would end sooner than an active one.
+        Tasks suspected of crashing their workers get no copy.
         """
         if self.done or not self.runs or not self.step.spec.speculative:
             return False
@@ -78,7 +74,7 @@
 
     @property
     def active_run(self):
-        """Return a run that works towards the task's end, or None."""
+        """Return the first active run, or None."""
         for run in self.runs:
             if run.is_active:
                 return run
--- a/packages/thymefork-cells/src/thymefork_cells/state/tests/test_loss_timing.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/tests/test_loss_timing.py
@@ -1,4 +1,4 @@
-"""Losses of workers that speak for a task's own doing, and those that do not."""
+"""Comparison of run ages at worker losses."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ages_ms", "alike"),
+    ("ages_ms", "similar"),
     [
         ([], True),
         ([10], True),
@@ -17,9 +17,9 @@
         ([None, None, 9_000], True),
     ],
 )
-def test_losses_at_about_the_same_point_of_each_run_are_alike(ages_ms, alike):
+def test_losses_at_similar_run_ages_have_similar_timing(ages_ms, similar):
     found = [
         WorkerLoss(worker_id=f"w{number}", after_ms=age_ms, is_certain=True)
         for number, age_ms in enumerate(ages_ms)
     ]
-    assert have_similar_timing(found) is alike
+    assert have_similar_timing(found) is similar
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -1,4 +1,4 @@
-"""One life of a worker, as the owner of its cell sees it."""
+"""One incarnation of a worker, as the owner of its cell sees it."""
 
 from attrs import define, field
 
@@ -6,36 +6,37 @@
 
 __all__ = ["Worker"]
 
-# Fences of one owner: the next owner's are above all that it may give to the lives of a
-# worker, which crashes and comes back within a second at the quickest.
+# Fences reserved for the incarnations of a worker under one owner.
 FENCES_PER_EPOCH = 1 << 20
-# A worker answers a look in 1.5 to 3.5 ms; one that was asked this long ago is silent.
+# A suspected worker that doesn't answer a poll for this long is silent.
 SILENT_MS = 100.0
-# Sound workers of one service differ by two to three times; one that is this many times
-# slower than the average is sick, also if it is always so.
+# A worker this many times slower than the average counts as faulty.
 FAR_SLOWER = 4.0
 
 
 @define(kw_only=True, eq=False)
 class Worker:
-    """Follow a worker's room, clock, leases and contact.
-
-    Units: `*_ms` on the steady clock; `clock_offset_ms` added to the steady clock
-    gives the worker's clock. `may_run_until_ms` bounds what this owner has allowed
-    to run, `inherited_until_ms` what its predecessor had. `has_reported` turns true once
-    the worker has listed what runs on it under the present owner's fence; before that,
-    nothing is placed on it. `answered_poll_ms` is when the latest answered look was sent: the
-    answer may be read much later, by a process that was paused. `unanswered_since_ms` is when the
-    first of the last looks without an answer was given up, 0 if the last was answered;
-    `unlisted_since_ms` is when the platform's list had it no more, `leases_expired_ms` when its
-    leases were thought over, `lease_sent_ms` when a lease was sent last;
-    `extended_lease_until_ms` bounds what a lease for an earlier life may allow.
-    `outdated_reports_in_row` counts the listings since the last one that counted that were
-    set aside as older.
-    `born_epoch_ms` tells its lives apart, 0 while none was told of; `number` counts
-    those that its owner has followed before, `tracked_since_ms` is when it came to follow
-    this one. `stopped` holds the runs whose stop was answered and whose end is still to
-    be seen.
+    """Track a worker's capacity, clock, leases and contact.
+
+    `born_epoch_ms` identifies the incarnation, 0 while unknown; `number` counts the
+    incarnations that this owner tracked before, `tracked_since_ms` is when it began to
+    track this one. `has_reported` is set once the worker has reported its runs under
+    the present owner's fence; nothing is placed on it before.
+
+    `may_run_until_ms` bounds the leases of this owner, `inherited_until_ms` those of
+    the previous one, `extended_lease_until_ms` any lease sent to an earlier
+    incarnation. `lease_sent_ms` is when a lease was last sent, `leases_expired_ms` when
+    all leases were last presumed expired.
+
+    `answered_poll_ms` is when the latest answered poll was sent: a paused process may
+    read the answer much later. `unanswered_since_ms` is when the first of the latest
+    unanswered polls timed out, 0 if the last was answered. `unlisted_since_ms` is when
+    the worker left the platform's list. `outdated_reports_in_row` counts reports of an
+    earlier incarnation. `stopped` holds the runs whose stop was answered and whose end
+    was not reported yet.
+
+    Units: `*_ms` on the steady clock; `clock_offset_ms` added to the steady clock gives
+    the worker's clock.
     """
 
     entry: object
@@ -83,52 +84,52 @@
 
     @property
     def is_far_slower(self):
-        """Tell whether it is slower, for good, than sound workers differ by."""
+        """Return whether it is permanently slower than healthy workers may be."""
         return self.slowness > FAR_SLOWER
 
     @property
     def is_least_preferred(self):
-        """Tell whether it is to be given work only if no other has room."""
+        """Return whether it gets work only if no other worker has capacity."""
         return self.health.failures_in_row > 0 or self.is_far_slower
 
     @property
     def healthy_slowness(self):
-        """Return how much longer than ordinary its runs take while it is sound.
+        """Return its slowness while healthy.
 
-        What is far slower for good is judged as an ordinary worker that is sick.
+        A far slower worker counts as a faulty one of ordinary speed.
         """
         return 1.0 if self.is_far_slower else self.slowness
 
     @property
     def machine(self):
-        """Return what names the machine under it, over its lives."""
+        """Return the id of its machine, which all its incarnations share."""
         return self.entry.machine_id or self.worker_id
 
     @property
     def worker_id(self):
-        """Return the id, which a later life may have, too."""
+        """Return the id, which later incarnations may share."""
         return self.entry.worker_id
 
     @property
     def incarnation(self):
-        """Return what tells this life from all others."""
+        """Return the identifier of this incarnation."""
         return (self.worker_id, self.born_epoch_ms)
 
     def fence(self, epoch):
-        """Return the fence that an owner's orders to this life carry.
+        """Return the fence of an owner's commands to this incarnation.
 
-        It rises with each life, so that no order to the one before is carried out once
-        the new life has heard of this owner: it knows no run that was stopped before.
+        It rises with each incarnation, so that a new one rejects delayed commands to
+        the one before: it does not know the runs that were stopped there.
         """
         return epoch * FENCES_PER_EPOCH + self.number
 
     @property
     def runs_until_ms(self):
-        """Return until when something may run here without another lease."""
+        """Return until when runs may continue here without another lease."""
         return max(self.may_run_until_ms, self.inherited_until_ms)
 
     def add(self, run):
-        """Take a run's room."""
+        """Add a run and its resources."""
         self.runs[run.key] = run
         step = run.step
         run.task.step.job.usage.add(step)
@@ -137,7 +138,7 @@
         self.held_accelerators += step.accelerators
 
     def remove(self, run):
-        """Free a run's room."""
+        """Remove a run and free its resources."""
         if self.runs.pop(run.key, None) is None:
             return
         self.stopped.discard(run.key)
@@ -149,44 +150,44 @@
         self.held_accelerators -= step.accelerators
 
     def _end_trial(self, job):
-        """End the trial of a job's tasks once none of them is left here."""
+        """End a job's isolation once none of its runs is left here."""
         if self.trial is None or self.trial.job is not job:
             return
         if all(run.task.step.job is not job for run in self.runs.values()):
             self.trial = None
 
     def runs_of_others(self, job):
-        """Return the runs here that are of other jobs."""
+        """Return the runs of all other jobs."""
         return [run for run in self.runs.values() if run.task.step.job is not job]
 
     def admits(self, job, now_ms):
-        """Tell whether a job's tasks may start beside what is tried here."""
+        """Return whether the isolation, if any, allows a job's tasks."""
         trial = self.trial
         return trial is None or trial.job is job or now_ms >= trial.until_ms
 
     @property
     def free_cpu_milli(self):
-        """Return the processor share that is free, below 0 once it has shrunk."""
+        """Return the free cpu; negative after the worker shrank."""
         return self.entry.cpu_milli - self.held_cpu_milli
 
     @property
     def free_memory_mb(self):
-        """Return the memory that is free, below 0 once it has shrunk."""
+        """Return the free memory; negative after the worker shrank."""
         return self.entry.memory_mb - self.held_memory_mb
 
     @property
     def free_accelerators(self):
-        """Return the accelerators that are free, below 0 once it has shrunk."""
+        """Return the free accelerators; negative after the worker shrank."""
         return self.entry.accelerators - self.held_accelerators
 
     @property
     def is_overcommitted(self):
-        """Tell whether its runs hold more than it has, since it has shrunk."""
+        """Return whether its runs exceed its capacity after it shrank."""
         free = (self.free_cpu_milli, self.free_memory_mb, self.free_accelerators)
         return min(free) < 0
 
     def has_capacity(self, step):
-        """Tell whether one more task of the step fits."""
+        """Return whether one more task of the step fits."""
         return (
             step.reserved_cpu_milli <= self.free_cpu_milli
             and step.memory_mb <= self.free_memory_mb
@@ -194,7 +195,7 @@
         )
 
     def fits_when_empty(self, step):
-        """Tell whether a task of the step fits into the empty worker."""
+        """Return whether a task of the step fits on the empty worker."""
         return (
             step.reserved_cpu_milli <= self.entry.cpu_milli
             and step.memory_mb <= self.entry.memory_mb
@@ -203,10 +204,9 @@
 
     @property
     def is_leaving(self):
-        """Tell whether its end is planned: it says so, or answered while unlisted.
+        """Return whether it is draining, or was removed from the list while alive.
 
-        The entry of a worker that crashes goes only after it has fallen silent, and
-        that of its next life may still have to come.
+        The entry of a crashed worker disappears only after it has fallen silent.
         """
         if self.entry.draining:
             return True
@@ -215,23 +215,23 @@
         return not self.is_listed and self.last_answer_ms > self.unlisted_since_ms
 
     def heard_ms_ago(self, now_ms):
-        """Return how long ago it last answered; None if it never did."""
+        """Return the time since its last answer, None if it never answered."""
         return round(now_ms - self.last_answer_ms) if self.last_answer_ms else None
 
     def clock_ms(self, now_ms):
-        """Return the worker's clock by the last answer; None if it never answered."""
+        """Return the worker's clock, None if it never answered."""
         if self.clock_offset_ms is None:
             return None
         return now_ms + self.clock_offset_ms
 
     @property
     def is_suspect(self):
-        """Tell whether it has not answered since it, or its hall, fell silent."""
+        """Return whether it has not answered since it, or its hall, fell silent."""
         return self.misses_in_row > 0 or self.last_answer_ms < self.suspected_ms
 
     def is_silent(self, now_ms):
-        """Tell whether it was asked because of a doubt and has not answered soon."""
+        """Return whether it was polled as a suspect and did not answer in time."""
         if self.misses_in_row:
             return True
-        in_doubt = self.last_answer_ms < self.suspected_ms
-        return in_doubt and now_ms - self.suspected_ms > SILENT_MS
+        is_suspected = self.last_answer_ms < self.suspected_ms
+        return is_suspected and now_ms - self.suspected_ms > SILENT_MS
--- a/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
@@ -1,4 +1,4 @@
-"""Several cells on one time, and the links between their owners."""
+"""Several simulated cells, and the links between their owners."""
 
 import simpy
 from attrs import evolve
@@ -12,13 +12,13 @@
 
 
 class CellGroup:
-    """Run a harness for each cell, and carry what they tell each other.
+    """Run a harness for each cell, and deliver the messages between their owners.
 
-    `befalls(message)` tells after how many milliseconds each copy of a message comes,
-    none for one that is lost. `is_cut(one, other)` tells whether two cells' owners hear
-    each other. A limit that was replaced may be in force for `applied_ms` still.
-    `most_cpu_milli` is the most that the workers of all cells ran of the account at
-    once, and `violations` the moments at which that was over every limit in force.
+    `delivery_delays(message)` returns the delay of each copy of a message in
+    milliseconds, none if it is lost. `is_link_down(one, other)` returns whether two
+    owners can't reach each other. A replaced limit may be in force for another
+    `applied_ms`. `most_cpu_milli` is the account's maximum cpu over all cells;
+    `violations` lists when it exceeded every limit in force.
     """
 
     def __init__(self, *, cells, limit_cpu_milli, workers=4, cpu_milli=32_000):
@@ -57,7 +57,7 @@
         self.env.run(until=self.env.now + for_ms)
 
     def set_limit(self, cpu_milli, cells=None):
-        """Let some cells read a configuration with another limit, all if not said."""
+        """Make some cells, by default all, read a configuration with a new limit."""
         self._version += 1
         limit = ResourceLimit(cpu_milli=cpu_milli)
         accounts = (AccountPolicy(name="a", limit=limit),)
@@ -71,39 +71,39 @@
                 harness.cell.on_configuration(harness.configuration)
 
     def kill(self, cell, *, for_ms):
-        """End the owner of a cell; another takes the cell over after a while."""
+        """Kill the owner of a cell; a new one takes over after a while."""
         harness = self.cells[cell]
         harness.dead = True
         harness.run_after(for_ms, harness.take_over)
 
     def cpu_running(self, cell=None):
-        """Return what the workers of a cell, or of all, run now."""
+        """Return the cpu in use in a cell, or in all cells."""
         cells = self.cells if cell is None else [self.cells[cell]]
         return sum(
             harness._cpu_of(task) for harness in cells for task, _ in harness.running()
         )
 
-    # As the harnesses' owners --------------------------------------------------
+    # Interface of `Harness.owners` ---------------------------------------------
 
     def on_taken_over(self):
-        """Pass over: the links are up."""
+        """Do nothing: the links are up."""
 
     def send(self, message):
-        """Carry a message, as often as it comes."""
+        """Deliver each copy of a message."""
         self.messages += 1
         for after_ms in self.delivery_delays(message):
-            self.env.process(self._carry(message, after_ms))
+            self.env.process(self._deliver(message, after_ms))
 
-    def _carry(self, message, after_ms):
+    def _deliver(self, message, after_ms):
         yield self.env.timeout(after_ms)
         harness = self.cells[message.to_cell]
         if not harness.dead and not self.is_link_down(message.borrower, message.lender):
             harness.cell.on_parts(message, now_ms=self.now)
 
-    # The rules -----------------------------------------------------------------
+    # Invariants ----------------------------------------------------------------
 
     def _watch(self):
-        """Look at each moment at what the workers run."""
+        """Check the cpu in use periodically."""
         most_before = 0
         while True:
             running = self.cpu_running()
@@ -112,11 +112,11 @@
             most_before = running
             self.most_cpu_milli = max(self.most_cpu_milli, running)
             if self.now % 50 == 0:
-                self._look_for_standstill(running)
+                self._check_stalls(running)
             yield self.env.timeout(5)
 
     def _highest_limit(self):
-        """Return the highest limit that an owner goes by, or did as orders left."""
+        """Return the highest limit that is, or was recently, in force."""
         in_force = [_limit_of(harness) for harness in self.cells]
         replaced = [
             cpu_milli
@@ -125,14 +125,14 @@
         ]
         return max(in_force + replaced)
 
-    def _look_for_standstill(self, running):
-        """Note for how long a job has had nothing running below half of the limit."""
-        holds_little = 2 * running < min(map(_limit_of, self.cells))
+    def _check_stalls(self, running):
+        """Record how long a job has run nothing with under half of the limit in use."""
+        is_under_half = 2 * running < min(map(_limit_of, self.cells))
         for harness in self.cells:
             if harness.dead:
                 continue
             for job in harness.cell.context.live_jobs.values():
-                if job.runs or not holds_little:
+                if job.runs or not is_under_half:
                     self.stalled_since.pop(job.job_id, None)
                     continue
                 since_ms = self.stalled_since.setdefault(job.job_id, self.now)
@@ -140,6 +140,6 @@
 
 
 def _limit_of(harness):
-    """Return the limit that a cell's owner goes by."""
+    """Return the cpu limit in a cell owner's configuration."""
     account = harness.configuration.account("a")
     return account.limit.cpu_milli if account is not None else 0
--- a/packages/thymefork-cells/src/thymefork_cells/tests/command_transport.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/command_transport.py
@@ -1,4 +1,4 @@
-"""Orders and looks on their way to virtual workers, with what may befall them."""
+"""Delivery of commands and polls to virtual workers, with injected faults."""
 
 from collections import Counter
 
@@ -12,19 +12,19 @@
 
 
 class CommandTransport:
-    """Carry orders out as a harness wants it, and hand the answers to the cell.
+    """Deliver commands as the hooks of a harness say, and pass the answers to the cell.
 
-    `starts_unanswered` counts, by task, the starts that no worker has answered.
+    `starts_unanswered` counts unanswered starts by task.
     """
 
     def __init__(self, *, harness):
         self._harness = harness
-        self._heard_lives = {}  # on the connections that are open
+        self._heard_incarnations = {}  # by worker, on the open connections
         self.starts_unanswered = Counter()
 
     def forget_connections(self):
-        """Begin without connections, as a new owner does."""
-        self._heard_lives.clear()
+        """Drop all connections, as for a new owner."""
+        self._heard_incarnations.clear()
 
     def start(self, cell, effect):
         run = effect.run
@@ -35,7 +35,7 @@
         if worker.is_replaced:
             yield self._harness.env.timeout(ORDER_MS)
             answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
-        elif self._comes_late(effect, worker, self._carry_out_start, start):
+        elif self._is_delayed(effect, worker, self._deliver_start, start):
             self.starts_unanswered[run.task.name] += 1
             yield self._harness.env.timeout(SILENCE_MS)
             answer = CommandAnswer(refusal=Refusal.SILENCE)
@@ -58,16 +58,16 @@
     def _answer_to_start(self, effect, worker, start):
         refusal = self._harness.refusal_for(effect)
         if refusal is None:
-            return self._carry_out_start(worker, *start, self._harness.now)
+            return self._deliver_start(worker, *start, self._harness.now)
         return CommandAnswer(refusal=refusal, clock_ms=worker.clock(self._harness.now))
 
-    def _carry_out_start(self, worker, task, *order):
-        """Start a run; its task may crash the worker."""
-        answer = worker.start(task, *order)
+    def _deliver_start(self, worker, task, *command):
+        """Start a run, which may crash the worker later."""
+        answer = worker.start(task, *command)
         if answer.refusal is Refusal.NONE:
             self._harness.check_capacity(worker, task)
             if self._harness.gangs is not None:
-                self._harness.gangs.on_start(worker, task, order[0])
+                self._harness.gangs.on_start(worker, task, command[0])
         after_ms = self._harness.crashes_after_ms(task)
         if answer.refusal is Refusal.NONE and after_ms is not None:
             self._harness.env.process(
@@ -75,30 +75,32 @@
             )
         return answer
 
-    def _comes_late(self, effect, worker, order, arguments):
-        """Have an order carried out later, if it is to be; tell whether it is."""
+    def _is_delayed(self, effect, worker, command, arguments):
+        """Schedule a delayed command; return whether it is delayed."""
         command_delay_ms = self._harness.command_delay_ms(effect)
         if command_delay_ms:
             self._harness.env.process(
-                self._carry_out(command_delay_ms, worker, order, arguments)
+                self._deliver_later(command_delay_ms, worker, command, arguments)
             )
         return command_delay_ms > 0
 
-    def _carry_out(self, command_delay_ms, worker, order, arguments):
+    def _deliver_later(self, command_delay_ms, worker, command, arguments):
         born_epoch_ms = worker.born_epoch_ms
         yield self._harness.env.timeout(command_delay_ms)
         if worker.is_unreachable:
             return
-        is_unfenced = worker.born_epoch_ms != born_epoch_ms and not self._knows(worker)
+        is_unfenced = worker.born_epoch_ms != born_epoch_ms and not self._has_answered(
+            worker
+        )
         count = len(worker.history)
-        order(worker, *arguments, self._harness.now)
+        command(worker, *arguments, self._harness.now)
         for run in worker.history[count:]:
             run.is_unfenced = is_unfenced
 
-    def _knows(self, worker):
-        """Tell whether the owner was answered by the life that a worker is in.
+    def _has_answered(self, worker):
+        """Return whether the worker's incarnation has answered the owner.
 
-        Before that, nobody can have forbidden it anything.
+        Before that, no fence can have reached it.
         """
         followed = self._harness.cell.context.workers.get(worker.worker_id)
         if followed is None or followed.born_epoch_ms != worker.born_epoch_ms:
@@ -106,18 +108,18 @@
         return followed.answered_poll_ms > 0
 
     @staticmethod
-    def _carry_out_stop(worker, *order):
-        return worker.stop(*order)
+    def _deliver_stop(worker, *command):
+        return worker.stop(*command)
 
     @staticmethod
-    def _carry_out_look(worker, *order):
-        return worker.look(*order)
+    def _deliver_poll(worker, *command):
+        return worker.look(*command)
 
     def stop(self, cell, effect):
         run = effect.run
         worker = self._harness.workers[run.worker.worker_id]
         stop = (*run.key, run.worker.fence(cell.context.epoch))
-        late = self._comes_late(effect, worker, self._carry_out_stop, stop)
+        late = self._is_delayed(effect, worker, self._deliver_stop, stop)
         if worker.is_replaced:
             yield self._harness.env.timeout(ORDER_MS)
             answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
@@ -154,10 +156,12 @@
             )
             deadline_ms = effect.worker.clock_ms(self._harness.now) + effect.lease_ms
         fence = effect.worker.fence(cell.context.epoch)
-        is_first = self._heard_lives.get(worker.worker_id) != worker.born_epoch_ms
+        is_first = (
+            self._heard_incarnations.get(worker.worker_id) != worker.born_epoch_ms
+        )
         look = (fence, 0, 0.0) if is_first else (fence, effect.last_end, deadline_ms)
         wait_ms = 0 if is_first else effect.wait_ms
-        if self._comes_late(effect, worker, self._carry_out_look, look):
+        if self._is_delayed(effect, worker, self._deliver_poll, look):
             yield self._harness.env.timeout(SILENCE_MS)
             if self._harness.is_current(cell):
                 cell.poller.on_poll_unanswered(
@@ -182,12 +186,12 @@
         if not self._harness.is_current(cell):
             return
         if report is None:
-            self._heard_lives.pop(worker.worker_id, None)
+            self._heard_incarnations.pop(worker.worker_id, None)
             cell.poller.on_poll_unanswered(
                 effect.worker, quick=effect.quick, now_ms=self._harness.now
             )
         else:
-            self._heard_lives[worker.worker_id] = report.born_epoch_ms
+            self._heard_incarnations[worker.worker_id] = report.born_epoch_ms
             cell.on_report(
                 effect.worker,
                 report,
--- a/packages/thymefork-cells/src/thymefork_cells/tests/conftest.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for the cell's tests."""
+"""Fixtures for cell tests."""
 
 import pytest
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -1,4 +1,4 @@
-"""A cell with virtual workers and a virtual store, on the time of simpy."""
+"""A cell with virtual workers and a virtual store, in simpy time."""
 
 from collections import Counter
 
@@ -20,30 +20,35 @@
 __all__ = ["SHRINK_KNOWN_MS", "START_EPOCH_MS", "Harness", "job_spec"]
 
 APPEND_MS = 10.0
-TURN_MS = 5.0
-# A room that has shrunk counts this long after it did: contact and a heartbeat.
+CYCLE_INTERVAL_MS = 5.0
+# Time after which the owner must know that a worker has shrunk.
 SHRINK_KNOWN_MS = 3_500.0
 
 
 class Harness:
-    """Carry out a cell's effects.
-
-    `is_command_lost` decides which orders get no answer and are not carried out, `is_start_answer_lost` which
-    starts are carried out and get none, `is_stop_dropped` which stops vanish without any outcome.
-    `omits_worker_clock` decides which starts get an answer without the worker's clock.
-    `command_delay_ms` tells how much later an order without an answer is carried out, or 0.
-    `refusal_for` tells why a worker turns a start down, None if it does not; `command_latency_ms` and
-    `answer_latency_ms` tell how long an order takes to its worker, and its answer to be heard;
-    `append_latency_ms` and `cycle_interval_ms` how long an append takes and when the next turn follows.
-    `advisers` is how many instances make calls to the advice service, each one at a
-    time, None for as many as needed. An order to a worker whose address is not known
-    goes nowhere, as in the daemon.
-    `crashes_after_ms` tells of a task how long after its start it crashes its worker,
-    None if it does not; the machine is back after `back_after_ms`, as another worker
-    or, where it `keeps_worker_ids`, as the same, listed `entry_delay_ms` later; `crashes`
-    lists what happened. `owners` carries messages on parts of limits to the owners of
-    other cells, which are idle where nothing is said. `violations` lists the starts that
-    brought a worker over its processors, by `resize` and the descriptions of the jobs.
+    """Perform a cell's effects on virtual workers and a virtual store.
+
+    Hooks, called with the effect:
+
+    - `is_command_lost`: the command is neither carried out nor answered.
+    - `is_start_answer_lost`: the start is carried out but not answered.
+    - `is_stop_dropped`: the stop vanishes without any outcome.
+    - `omits_worker_clock`: the answer to the start lacks the worker's clock.
+    - `command_delay_ms`: an unanswered command is carried out this much later, or 0.
+    - `refusal_for`: the reason for which the worker refuses the start, or None.
+    - `command_latency_ms`, `answer_latency_ms`: network latency of each way.
+
+    `append_latency_ms()` and `cycle_interval_ms()` return the duration of an append and
+    the time to the next cycle. `advisers` is the number of instances that make advice
+    calls, one at a time each, None if unlimited.
+
+    `crashes_after_ms(task)` returns how long after its start a task crashes its worker,
+    or None. The machine returns after `return_delay_ms`, as another worker or, with
+    `keeps_worker_ids`, as the same one, listed `entry_delay_ms` later. `crashes` lists
+    the crashes.
+
+    `owners` delivers limit part messages to the owners of other cells, by default idle
+    ones. `violations` lists the starts that exceeded a worker's cpu.
     """
 
     def __init__(
@@ -89,7 +94,7 @@
         self.command_latency_ms = lambda effect: ORDER_MS
         self.answer_latency_ms = lambda effect: 0.0
         self.append_latency_ms = lambda: APPEND_MS
-        self.cycle_interval_ms = lambda: TURN_MS
+        self.cycle_interval_ms = lambda: CYCLE_INTERVAL_MS
         self.crashes_after_ms = lambda task: None
         self.back_after_ms = 2_800.0
         self.keeps_worker_ids = False
@@ -117,7 +122,7 @@
         return float(self.env.now)
 
     def take_over(self):
-        """Begin as a new owner with what is stored."""
+        """Start a new owner from the stored state."""
         self.epoch += 1
         self.dead = False
         self.transport.forget_connections()
@@ -141,16 +146,16 @@
             list(self.announced_speeds.values()), now_ms=self.now
         )
         self.owners.on_taken_over()
-        self.env.process(self._turns(self.cell))
+        self.env.process(self._run_cycles(self.cell))
 
     def simulate_gangs(self, *, bounds):
-        """Let gangs work, wait and break as a whole; to be called before the first."""
+        """Simulate gang semantics; to be called before the first gang starts."""
         self.bounds = self.cell.context.bounds = bounds
         self.gangs = VirtualGangs(harness=self, wait_ms=bounds.gang_wait_ms)
         self.env.process(self.gangs.run())
 
     def resize(self, worker_id, cpu_milli):
-        """Change a worker's room; it says so in its entry."""
+        """Change a worker's capacity and its list entry."""
         self.capacity_history[worker_id].append((self.now, cpu_milli))
         self.publish_worker_list(
             [
@@ -162,11 +167,11 @@
         )
 
     def cpu_used(self, worker):
-        """Return the processors that a worker's runs take."""
+        """Return the cpu that a worker's runs use."""
         return sum(self._cpu_of(task) for task, _ in worker.running)
 
     def step_of(self, task):
-        """Return the description of a task's step."""
+        """Return the specification of a task's step."""
         job_id, _, step, _ = task.split(".")
         return self.specs[job_id].steps[int(step)]
 
@@ -174,7 +179,7 @@
         return self.step_of(task).reserved_cpu_milli
 
     def check_capacity(self, worker, task):
-        """Note a start that brought a worker over its processors."""
+        """Record a start that exceeded a worker's cpu."""
         capacity_history = self.capacity_history[worker.worker_id]
         known = [
             cpu for at_ms, cpu in capacity_history if self.now - at_ms > SHRINK_KNOWN_MS
@@ -202,7 +207,7 @@
         self.env.run(until=self.env.now + for_ms)
 
     def run_after(self, after_ms, action):
-        """Do something later."""
+        """Call a function later."""
         self.env.process(self._do_after(after_ms, action))
 
     def _do_after(self, after_ms, action):
@@ -210,13 +215,13 @@
         action()
 
     def run_store_outage(self, for_ms):
-        """Let an outage of the store pass, which the owner knows of."""
+        """Run an outage of the store that the owner is aware of."""
         self.store_down = self.cell.context.is_store_unavailable = True
         self.run(for_ms)
         self.store_down = self.cell.context.is_store_unavailable = False
 
     def load_worker_list(self, entries):
-        """Let the owner read a list of workers."""
+        """Make the owner read a worker list."""
         self.entries = entries
         self.cell.registry.update(entries, now_ms=self.now)
 
@@ -224,13 +229,13 @@
         return self.cell.context.jobs[job_id]
 
     def running(self):
-        """Return what the workers run, by task and run."""
+        """Return the task and run number of all running runs."""
         for worker in self.workers.values():
             worker.advance(self.now)
         return {key for worker in self.workers.values() for key in worker.running}
 
     def runs_of(self, worker_id):
-        """Return the runs that the owner counts on a worker, none if it forgot it."""
+        """Return the runs that the owner tracks on a worker."""
         worker = self.cell.context.workers.get(worker_id)
         return worker.runs if worker is not None else {}
 
@@ -244,7 +249,7 @@
 
     # The owner's part ----------------------------------------------------------
 
-    def _turns(self, cell):
+    def _run_cycles(self, cell):
         while cell is self.cell and not self.dead:
             self._turn(cell)
             yield self.env.timeout(self.cycle_interval_ms())
@@ -312,29 +317,29 @@
             self.env.process(self._advise(cell, effect))
 
     def is_current(self, cell):
-        """Tell whether a cell has its owner still."""
+        """Return whether a cell still has its owner."""
         return cell is self.cell and not self.dead
 
     def publish_worker_list(self, entries):
-        """Change the platform's list; the owner reads it unless the store is away."""
+        """Change the platform's worker list; the owner reads it if the store is up."""
         self.entries = entries
         if not self.dead and not self.store_down:
             self.cell.registry.update(entries, now_ms=self.now)
 
     def crash(self, worker):
-        """End a worker's life; its machine comes back, as another worker or as it."""
+        """Crash a worker; its machine returns under a new or the same worker id."""
         self.faults.crash(worker)
 
     def restart(self, worker, **fields):
-        """End a worker's life; another begins under its id."""
+        """Restart a worker under the same id."""
         self.faults.restart(worker, **fields)
 
     def disconnect_worker(self, worker, *, for_ms):
-        """Keep a worker out of reach for a while, unless its life ends meanwhile."""
+        """Make a worker unreachable for a while, unless it restarts meanwhile."""
         self.faults.disconnect_worker(worker, for_ms=for_ms)
 
     def starts_after_nth_crash(self, task, count):
-        """Return the starts of a task after so many workers crashed under it."""
+        """Return the starts of a task after its nth crash of a worker."""
         crashed_ms = [crash.at_ms for crash in self.crashes if task in crash.tasks]
         if len(crashed_ms) < count:
             return []
--- a/packages/thymefork-cells/src/thymefork_cells/tests/idle_cell_owners.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/idle_cell_owners.py
@@ -1,4 +1,4 @@
-"""Owners of the cells beside the one that is tested: they have no work, and lend."""
+"""Owners of cells without work, which lend limit parts to the tested cell."""
 
 from thymefork_cells import Cell, effects as fx
 from thymefork_cells.specs import Bounds
@@ -8,29 +8,29 @@
 PARTS = (fx.RequestParts, fx.GrantParts, fx.ReportHeldParts)
 LINK_MS = 2.0
 APPEND_MS = 10.0
-# A new owner finds the others, and opens its links, within two heartbeats.
-LINKS_UP_MS = 500.0
-TURN_MS = 20.0
+# Time until a new owner has links to the others.
+LINK_SETUP_MS = 500.0
+CYCLE_INTERVAL_MS = 20.0
 
 
 class IdleCellOwners:
-    """Play cells without workers or jobs, each from the first message to it."""
+    """Simulate cells without workers or jobs, created on their first message."""
 
     def __init__(self, *, harness):
         self._harness = harness
-        self._up_ms = 0.0
+        self._links_up_ms = 0.0
         self.cells = {}
 
     def on_taken_over(self):
-        """Take note that the tested cell has a new owner, without links yet."""
-        self._up_ms = self._harness.now + LINKS_UP_MS
+        """Take the links down for a while after a takeover of the tested cell."""
+        self._links_up_ms = self._harness.now + LINK_SETUP_MS
 
     def send(self, message):
-        """Carry a message of the tested cell, or to it."""
-        if self._harness.now >= self._up_ms:
-            self._harness.env.process(self._carry(message))
+        """Deliver a message from or to the tested cell."""
+        if self._harness.now >= self._links_up_ms:
+            self._harness.env.process(self._deliver(message))
 
-    def _carry(self, message):
+    def _deliver(self, message):
         yield self._harness.env.timeout(LINK_MS)
         harness = self._harness
         if message.to_cell != harness.cell.context.cell:
@@ -49,10 +49,10 @@
                 membership_ms=1_000.0,
                 now_ms=self._harness.now,
             )
-            self._harness.env.process(self._turns(cell))
+            self._harness.env.process(self._run_cycles(cell))
         return self.cells[index]
 
-    def _turns(self, cell):
+    def _run_cycles(self, cell):
         while True:
             cell.run_cycle(self._harness.now)
             self._send_all(cell.take_effects())
@@ -60,7 +60,7 @@
             yield self._harness.env.timeout(APPEND_MS)
             cell.on_stored(batch)
             self._send_all(batch.effects)
-            yield self._harness.env.timeout(TURN_MS - APPEND_MS)
+            yield self._harness.env.timeout(CYCLE_INTERVAL_MS - APPEND_MS)
 
     def _send_all(self, effects):
         for effect in effects:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/machine_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/machine_faults.py
@@ -1,4 +1,4 @@
-"""Workers of a harness that crash, restart or are cut off."""
+"""Crashes, restarts and disconnections of a harness's workers."""
 
 from attrs import evolve, frozen
 
@@ -6,13 +6,13 @@
 
 __all__ = ["Crash", "MachineFaults"]
 
-# The entry of a worker that has crashed goes after three heartbeats of silence.
-LAPSE_MS = 1_500.0
+# Time after which a crashed worker's list entry is removed.
+ENTRY_TTL_MS = 1_500.0
 
 
 @frozen(kw_only=True)
 class Crash:
-    """Hold a crash of a worker and the tasks that it ran."""
+    """Crash of a worker, and the tasks that it ran."""
 
     at_ms: float
     worker_id: str
@@ -20,11 +20,11 @@
 
 
 class MachineFaults:
-    """End and begin the lives of a harness's workers, and keep them out of reach."""
+    """Crash, restart and disconnect the workers of a harness."""
 
     def __init__(self, *, harness):
         self._harness = harness
-        self._gone_entries = {}
+        self._removed_entries = {}
 
     def crash_by(self, task, worker, after_ms):
         yield self._harness.env.timeout(after_ms)
@@ -33,7 +33,7 @@
             self.crash(worker)
 
     def crash(self, worker):
-        """End a worker's life; its machine comes back, as another worker or as it."""
+        """Crash a worker; its machine returns under a new or the same worker id."""
         worker.advance(self._harness.now)
         tasks = frozenset(name for name, _ in worker.running)
         self._harness.crashes.append(
@@ -47,34 +47,32 @@
             )
             return
         worker.end_life(self._harness.now)
-        self._harness.env.process(self._come_back(worker))
+        self._harness.env.process(self._return(worker))
 
     def restart(self, worker, *, away_ms, entry_delay_ms=0.0):
-        """End a worker's life; another begins under its id.
+        """Restart a worker under the same id.
 
-        Its entry goes after three heartbeats, and is written by the new life a while
-        after that has begun.
+        Its list entry is removed after a while; the new incarnation writes it again
+        `entry_delay_ms` after its start.
         """
         worker.end_life(self._harness.now)
-        self._harness.env.process(self._begin_again(worker, away_ms, entry_delay_ms))
+        self._harness.env.process(self._restart(worker, away_ms, entry_delay_ms))
 
     def disconnect_worker(self, worker, *, for_ms):
-        """Keep a worker out of reach for a while, unless its life ends meanwhile."""
+        """Make a worker unreachable for a while, unless it restarts meanwhile."""
         worker.is_unreachable = True
-        self._harness.env.process(
-            self._reach_again(worker, worker.born_epoch_ms, for_ms)
-        )
+        self._harness.env.process(self._reconnect(worker, worker.born_epoch_ms, for_ms))
 
-    def _reach_again(self, worker, born_epoch_ms, for_ms):
+    def _reconnect(self, worker, born_epoch_ms, for_ms):
         yield self._harness.env.timeout(for_ms)
         if worker.born_epoch_ms == born_epoch_ms:
             worker.is_unreachable = False
 
-    def _begin_again(self, worker, away_ms, entry_delay_ms):
+    def _restart(self, worker, away_ms, entry_delay_ms):
         entry = self._last_entry_of(worker)
-        lapse_ms = min(LAPSE_MS, away_ms)
-        yield self._harness.env.timeout(lapse_ms)
-        if away_ms > LAPSE_MS:
+        removal_delay_ms = min(ENTRY_TTL_MS, away_ms)
+        yield self._harness.env.timeout(removal_delay_ms)
+        if away_ms > ENTRY_TTL_MS:
             self._harness.publish_worker_list(
                 [
                     one
@@ -82,7 +80,7 @@
                     if one.worker_id != entry.worker_id
                 ]
             )
-        yield self._harness.env.timeout(away_ms - lapse_ms)
+        yield self._harness.env.timeout(away_ms - removal_delay_ms)
         worker.begin_life(self._harness.now)
         born_epoch_ms = worker.born_epoch_ms
         yield self._harness.env.timeout(entry_delay_ms)
@@ -95,22 +93,24 @@
             )
 
     def _last_entry_of(self, worker):
-        """Return what a worker's entry said last, though it may have gone since."""
+        """Return a worker's list entry, or its last one if it was removed."""
         entries = {one.worker_id: one for one in self._harness.entries}
-        entry = entries.get(worker.worker_id, self._gone_entries.get(worker.worker_id))
-        self._gone_entries[worker.worker_id] = entry
+        entry = entries.get(
+            worker.worker_id, self._removed_entries.get(worker.worker_id)
+        )
+        self._removed_entries[worker.worker_id] = entry
         return entry
 
-    def _come_back(self, worker):
-        lapse_ms = min(LAPSE_MS, self._harness.back_after_ms)
-        yield self._harness.env.timeout(lapse_ms)
+    def _return(self, worker):
+        removal_delay_ms = min(ENTRY_TTL_MS, self._harness.back_after_ms)
+        yield self._harness.env.timeout(removal_delay_ms)
         entry = next(
             one for one in self._harness.entries if one.worker_id == worker.worker_id
         )
         self._harness.publish_worker_list(
             [one for one in self._harness.entries if one is not entry]
         )
-        yield self._harness.env.timeout(self._harness.back_after_ms - lapse_ms)
+        yield self._harness.env.timeout(self._harness.back_after_ms - removal_delay_ms)
         worker.is_replaced = True
         new_id = f"{worker.worker_id}+"
         self._harness.workers[new_id] = VirtualWorker(
--- a/packages/thymefork-cells/src/thymefork_cells/tests/mixed_speed_site.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/mixed_speed_site.py
@@ -1,4 +1,4 @@
-"""A cell with workers of unlike speed, and small urgent jobs beside batch work."""
+"""A cell with fast and slow workers, small urgent jobs and batch jobs."""
 
 import random
 from itertools import count
@@ -9,22 +9,24 @@
 
 __all__ = ["BATCH", "FAST", "SLOW", "SMALL", "JobShape", "MixedSpeedSite"]
 
-# A third of the workers is 2.4 times as fast as the others.
 SLOW = 1.0 / 0.7
 FAST = 1.0 / 1.7
 WORKERS = 24
 CORES = 16_000
-# Tasks of one image differ by so much, and by so much from job to job.
-UNEVEN = 0.3
+# Relative spread of durations between the tasks of a job, and between jobs.
+TASK_SPREAD = 0.3
 JOB_SPREAD = 0.1
-TAIL_SHARE = 0.03
-TAIL_FACTOR = 7.0
+STRAGGLER_FRACTION = 0.03
+STRAGGLER_FACTOR = 7.0
 ESTIMATE_SPREAD = 0.2
 
 
 @frozen(kw_only=True)
 class JobShape:
-    """Describe a kind of job. Units: milliseconds, thousandths of a core."""
+    """Describe a kind of job.
+
+    Units: milliseconds, thousandths of a core.
+    """
 
     queue: str
     work_ms: float
@@ -40,25 +42,25 @@
 )
 
 
-class _Work(dict):
-    """Tell the work of a task's next run; some runs have a long tail."""
+class _TaskDurations(dict):
+    """Map tasks to the duration of their next run, with occasional stragglers."""
 
-    def __init__(self, draw):
+    def __init__(self, random_value):
         super().__init__()
-        self._draw = draw
+        self._random = random_value
 
     def get(self, task, usual_ms):
-        is_tail = self._draw() < TAIL_SHARE
-        return super().get(task, usual_ms) * (TAIL_FACTOR if is_tail else 1.0)
+        is_straggler = self._random() < STRAGGLER_FRACTION
+        return super().get(task, usual_ms) * (STRAGGLER_FACTOR if is_straggler else 1.0)
 
 
 class MixedSpeedSite(Harness):
-    """Send jobs at a steady pace and keep what each task's work is."""
+    """Simulate a cell with workers of different speeds."""
 
     def __init__(self, *, seed, slownesses=(SLOW, SLOW, FAST), workers=WORKERS):
         super().__init__(workers=workers, cpu_milli=CORES)
         self.random = random.Random(seed)
-        self.work_ms_of = _Work(self.random.random)
+        self.work_ms_of = _TaskDurations(self.random.random)
         self.objectives_ms = {}
         self.numbers = count()
         for number, worker in enumerate(self.workers.values()):
@@ -74,14 +76,14 @@
         self.run(300)
 
     def send(self, shape):
-        """Hand in one job; its image tells its work, its caller's estimate is off."""
+        """Submit a job whose duration depends on its image; its estimate is inexact."""
         job_id = f"{next(self.numbers):016x}"
         image = f"{shape.queue}-{self.random.randrange(shape.images)}"
         work_ms = shape.work_ms * random.Random(image).uniform(0.7, 1.4)
         work_ms *= self.random.lognormvariate(0.0, JOB_SPREAD)
         for index in range(shape.width):
-            even = self.random.uniform(1.0 - UNEVEN, 1.0 + UNEVEN)
-            self.work_ms_of[f"{job_id}.0.0.{index}"] = work_ms * even
+            factor = self.random.uniform(1.0 - TASK_SPREAD, 1.0 + TASK_SPREAD)
+            self.work_ms_of[f"{job_id}.0.0.{index}"] = work_ms * factor
         error = self.random.lognormvariate(0.0, shape.estimate_spread)
         step = {
             "count": shape.width,
@@ -98,7 +100,7 @@
         return job_id
 
     def load(self, for_ms, **gaps_ms):
-        """Send small jobs, batch jobs or both, each with a pause in between."""
+        """Submit small jobs, batch jobs or both at the given intervals."""
         shapes = {"small": SMALL, "batch": BATCH}
         due_ms = dict.fromkeys(gaps_ms, self.now)
         until_ms = self.now + for_ms
@@ -112,11 +114,11 @@
         return sent
 
     def is_fast(self, worker_id):
-        """Tell whether a worker is among the fast ones."""
+        """Return whether a worker is one of the fast ones."""
         return self.workers[worker_id].slow_factor < 1.0
 
     def starts(self, job_ids):
-        """Return the workers that the tasks of jobs began on."""
+        """Return the workers on which the tasks of jobs were started."""
         return [
             worker.worker_id
             for worker in self.workers.values()
@@ -125,7 +127,7 @@
         ]
 
     def fraction_on_time(self, job_ids):
-        """Return the share of jobs that succeeded by their objective."""
+        """Return the fraction of jobs that met their latency objective."""
         jobs = {job_id: self.cell.context.jobs[job_id] for job_id in job_ids}
         in_time = [
             str(job.state) == "succeeded" and job.ended_ms <= self.objectives_ms[job_id]
--- a/packages/thymefork-cells/src/thymefork_cells/tests/run_invariants.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/run_invariants.py
@@ -1,10 +1,10 @@
-"""What must hold of the runs of a task, judged by what the workers did."""
+"""Invariants of the runs of a task, checked on the workers' history."""
 
 __all__ = ["longest_gap_ms", "tasks_run_twice"]
 
 
 def tasks_run_twice(harness):
-    """Return the tasks that ran twice at once, or again after a good end was noted."""
+    """Return tasks that ran twice at once, or again after an acknowledged success."""
     return sorted(
         task
         for task, runs in _runs_by_task(harness).items()
@@ -17,7 +17,7 @@
 
 
 def longest_gap_ms(harness, task, since_ms):
-    """Return the longest time since a moment in which a task ran nowhere."""
+    """Return the longest time after `since_ms` in which a task did not run."""
     free_ms, longest_ms = since_ms, 0.0
     for run in _runs_by_task(harness).get(task, []):
         longest_ms = max(longest_ms, run.began_ms - free_ms)
@@ -43,5 +43,5 @@
     if later.began_ms < ended_ms:
         return True
     if harness.step_of(earlier.task).long_running:
-        return False  # however it ends, it is to be started again
+        return False  # restarted however it ends
     return earlier.how == "done" and earlier.is_acknowledged
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_accounts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""What client accounts may have running, through whatever happens."""
+"""Enforcement of client account limits, also during faults and changes."""
 
 import pytest
 from attrs import evolve
@@ -38,7 +38,7 @@
 
 
 def max_cpu_running(harness, for_ms, *job_ids):
-    """Return the most processors that jobs had running at once in a while."""
+    """Return the maximum cpu that jobs used at once during a time."""
     most = 0
     for _ in range(int(for_ms // 5)):
         harness.run(5)
@@ -57,14 +57,14 @@
         ({}, 12_000),
     ],
 )
-def test_an_account_runs_no_more_than_its_limit(make_harness, limit, most):
+def test_account_never_exceeds_its_limit(make_harness, limit, most):
     harness = make_harness(workers=4)
     use_accounts(harness, account(**limit))
     harness.submit(A, job_spec({**WIDE, "memory_mb": 100}), account_name="a")
     assert max_cpu_running(harness, 300, A) == most
 
 
-def test_all_of_it_runs_in_the_end(make_harness):
+def test_job_over_the_limit_completes_eventually(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=3_000))
     harness.submit(A, job_spec(WIDE), account_name="a")
@@ -72,7 +72,7 @@
     assert str(harness.job(A).state) == "succeeded"
 
 
-def test_one_account_at_its_limit_does_not_hold_up_another(make_harness):
+def test_account_at_its_limit_does_not_block_another(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=2_000), account("b"))
     harness.submit(A, job_spec(WIDE), account_name="a")
@@ -82,7 +82,7 @@
     assert cpu_running(harness, B) == 12_000
 
 
-def test_a_gang_starts_whole_within_the_limit_or_not_at_all(make_harness):
+def test_gang_starts_only_if_it_fits_the_limit_as_a_whole(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=6_000))
     gang = {"count": 4, "cpu_milli": 1_000, "gang": True, "estimated_ms": 400}
@@ -91,7 +91,7 @@
     assert max_cpu_running(harness, 400, A, B) == 4_000
 
 
-def test_copies_count(make_harness):
+def test_speculative_copies_count_toward_the_limit(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=4_000))
     step = {**WIDE, "count": 4, "speculative": True}
@@ -102,7 +102,7 @@
     assert max_cpu_running(harness, 3_000, A) <= 4_000
 
 
-def test_what_is_being_stopped_counts_until_it_is_gone(make_harness):
+def test_stopping_runs_count_until_they_are_gone(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=4_000))
     harness.is_stop_dropped = lambda effect: True
@@ -113,7 +113,7 @@
     assert max_cpu_running(harness, 200, A, B) == 4_000
 
 
-def test_a_new_owner_counts_what_its_predecessor_started(make_harness):
+def test_new_owner_counts_runs_of_the_previous_owner(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=4_000))
     harness.submit(A, job_spec({**WIDE, "count": 4}), account_name="a")
@@ -123,7 +123,7 @@
     assert max_cpu_running(harness, 300, A, B) == 4_000
 
 
-def test_runs_on_a_silent_worker_count_until_their_leases_are_over(make_harness):
+def test_runs_on_silent_worker_count_until_leases_expire(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=4_000))
     step = {**WIDE, "count": 4, "estimated_ms": 60_000}
@@ -135,7 +135,7 @@
     assert max_cpu_running(harness, 2_000, A, B) == 4_000
 
 
-def test_a_lowered_limit_stops_starts_but_nothing_that_runs(make_harness):
+def test_lowered_limit_blocks_starts_but_stops_no_runs(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=6_000))
     harness.submit(A, job_spec(WIDE), account_name="a")
@@ -148,7 +148,7 @@
     assert max_cpu_running(harness, 500, A) <= 2_000
 
 
-def test_a_removed_account_keeps_its_last_limit(make_harness):
+def test_removed_account_keeps_its_last_limit(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=3_000))
     harness.submit(A, job_spec(WIDE), account_name="a")
@@ -159,7 +159,7 @@
     assert str(harness.job(A).state) == "succeeded"
 
 
-def test_an_account_that_is_not_known_yet_waits_for_its_limit(make_harness):
+def test_jobs_of_unknown_account_wait_for_its_limit(make_harness):
     """An entry instance may have read a newer configuration than the owner."""
     harness = make_harness(workers=4)
     use_accounts(harness, account("b"))
@@ -170,7 +170,7 @@
     assert max_cpu_running(harness, 200, A) == 2_000
 
 
-def test_work_of_an_account_that_nobody_knows_is_not_held_for_ever(make_harness):
+def test_jobs_of_unknown_account_run_eventually(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account("b"))
     harness.submit(A, job_spec(WIDE), account_name="a")
@@ -178,7 +178,7 @@
     assert str(harness.job(A).state) == "succeeded"
 
 
-def test_several_cells_share_a_limit(make_harness):
+def test_cells_share_a_limit(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=8_000))
     harness.cell.context.cell_count = 2
@@ -186,7 +186,7 @@
     assert max_cpu_running(harness, 300, A) == 4_000
 
 
-def test_what_can_never_fit_is_refused_at_once(make_harness):
+def test_job_that_can_never_fit_the_limit_is_refused(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=3_000))
     gang = {"count": 4, "cpu_milli": 1_000, "gang": True}
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize("kind", ["read", "cancel", "submit"])
-def test_an_account_has_no_part_in_the_jobs_of_another(make_harness, kind):
+def test_account_cannot_access_jobs_of_another(make_harness, kind):
     harness = make_harness(workers=4)
     use_accounts(harness, account(), account("b"))
     harness.submit(A, job_spec(WIDE), account_name="a")
@@ -217,7 +217,7 @@
     assert harness.job(A).is_live
 
 
-def test_whose_a_job_is_lasts_over_a_change_of_owner(make_harness):
+def test_job_keeps_its_account_after_a_takeover(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=2_000), account("b"))
     harness.submit(A, job_spec(WIDE), account_name="a")
@@ -229,7 +229,7 @@
     assert harness.replies["r"].outcome is fx.Outcome.NOT_ALLOWED
 
 
-def test_a_flood_at_its_limit_costs_no_plan_more_than_a_few_steps(make_harness):
+def test_plan_considers_few_steps_of_account_at_its_limit(make_harness):
     harness = make_harness(workers=4, advice=ADVICE)
     use_accounts(harness, account(cpu_milli=2_000))
     for number in range(100):
@@ -239,7 +239,7 @@
     assert 0 < len(asked) <= 2 + MAX_BLOCKED_STEPS
 
 
-def test_no_room_is_kept_for_a_step_that_its_limit_holds_back(make_harness):
+def test_no_capacity_is_reserved_for_step_blocked_by_limit(make_harness):
     harness = make_harness(workers=2)
     use_accounts(harness, account(cpu_milli=6_000), account("b"))
     large = {"count": 1, "cpu_milli": 6_000, "estimated_ms": 800}
@@ -252,8 +252,8 @@
     assert cpu_running(harness, "c" * 16) == 6_000
 
 
-def test_tickets_are_asked_for_as_many_tasks_as_the_limit_lets_start(make_harness):
-    """From cab-bogota, shifted: 100 workers were asked about again and again."""
+def test_tickets_are_requested_only_for_tasks_within_limit(make_harness):
+    """Guards against requesting tickets for many more workers than can be used."""
     harness = make_harness(workers=60, advice=ADVICE)
     use_accounts(harness, account(cpu_milli=4_000))
     harness.submit(A, job_spec({**WIDE, "count": 40}), account_name="a")
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_dominant_shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_dominant_shares.py
@@ -1,9 +1,7 @@
-"""Room past full load: twenty accounts, some of which send many times their usual.
+"""Fairness between accounts in an overloaded cell, some of which flood it.
 
-The load: a cell near full load; five of twenty accounts send five to seven times their
-usual for seconds, wide jobs beside small ones. What callers need: jobs within an
-account's share are served as if nobody flooded, what is left is dealt by weight and not
-by the width of jobs, and nobody stands still for 3 s.
+Jobs within a share are served as without the floods, the remaining capacity is divided
+by weight regardless of job width, and no account starves.
 """
 
 import random
@@ -20,8 +18,8 @@
 WORK_MS = 800.0
 
 
-class Site:
-    """Send jobs of accounts, and follow what each account holds."""
+class FairnessSimulation:
+    """Submit jobs of several accounts, and sample the cpu of each account."""
 
     def __init__(self, make_harness, weights, workers=WORKERS, **fields):
         self.harness = make_harness(workers=workers, cpu_milli=CORES, **fields)
@@ -30,8 +28,8 @@
         use_accounts(self.harness, *policies)
         self.sent = {}
         self.held = {name: [] for name in weights}
-        self.still_ms = dict.fromkeys(weights, 0.0)
-        self.longest_ms = dict.fromkeys(weights, 0.0)
+        self.waiting_ms = dict.fromkeys(weights, 0.0)
+        self.longest_wait_ms = dict.fromkeys(weights, 0.0)
 
     def send(self, name, count, queue="q"):
         job_id = f"{len(self.sent):016x}"
@@ -39,12 +37,12 @@
         self.sent[job_id] = name
         self.harness.submit(job_id, job_spec(step), queue, account_name=name)
 
-    def run(self, for_ms, each_ms=50):
-        for _ in range(int(for_ms // each_ms)):
-            self.harness.run(each_ms)
-            self._follow(each_ms)
+    def run(self, for_ms, interval_ms=50):
+        for _ in range(int(for_ms // interval_ms)):
+            self.harness.run(interval_ms)
+            self._sample(interval_ms)
 
-    def _follow(self, each_ms):
+    def _sample(self, interval_ms):
         cpu = dict.fromkeys(self.held, 0)
         for task, _ in self.harness.running():
             cpu[self.sent[task.split(".")[0]]] += 2_000
@@ -52,8 +50,12 @@
         for name, held in self.held.items():
             held.append(cpu[name] / self.room)
             waits = name in live and not cpu[name]
-            self.still_ms[name] = self.still_ms[name] + each_ms if waits else 0.0
-            self.longest_ms[name] = max(self.longest_ms[name], self.still_ms[name])
+            self.waiting_ms[name] = (
+                self.waiting_ms[name] + interval_ms if waits else 0.0
+            )
+            self.longest_wait_ms[name] = max(
+                self.longest_wait_ms[name], self.waiting_ms[name]
+            )
 
     def jobs(self):
         return self.harness.cell.context.jobs.values()
@@ -62,7 +64,7 @@
         return sum(self.held[name][-last:]) / last
 
     def in_time(self, name, within_ms, beyond=False):
-        """Return the share of an account's jobs that ended in time."""
+        """Return the fraction of an account's jobs that ended in time."""
         jobs = [job for job in self.jobs() if job.account_name == name]
         jobs = [job for job in jobs if job.is_beyond_share is beyond]
         ends = [job.ended_ms and job.ended_ms - job.accepted_ms for job in jobs]
@@ -73,15 +75,15 @@
 FLOODS = {"a1": 5, "a4": 7, "a9": 6, "a12": 5, "a17": 7}
 
 
-def play_twenty(make_harness, seed, floods=FLOODS, meanwhile=None):
-    """Send a job a second for each account, many times that for the flooding ones."""
-    site = Site(make_harness, WEIGHTS)
-    draw = random.Random(seed)
+def run_twenty_accounts(make_harness, seed, floods=FLOODS, meanwhile=None):
+    """Submit a job per second for each account, more for flooding ones."""
+    site = FairnessSimulation(make_harness, WEIGHTS)
+    rng = random.Random(seed)
     for tenth in range(100):
         for name in WEIGHTS:
             rate = 1.0 * (floods.get(name, 1) if 20 <= tenth < 70 else 1)
-            for _ in range(int(rate / 10 + draw.random())):
-                site.send(name, min(24, 1 + int(draw.expovariate(1 / 3.0))))
+            for _ in range(int(rate / 10 + rng.random())):
+                site.send(name, min(24, 1 + int(rng.expovariate(1 / 3.0))))
         site.run(100)
         if meanwhile and tenth == 45:
             meanwhile(site)
@@ -90,20 +92,22 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_nobody_within_the_share_suffers_by_floods(make_harness, seed):
-    site = play_twenty(make_harness, seed)
+def test_floods_do_not_delay_accounts_within_their_share(make_harness, seed):
+    site = run_twenty_accounts(make_harness, seed)
     worst = min(site.in_time(name, 2 * WORK_MS + 400) for name in WEIGHTS)
     assert worst >= 0.8
-    assert max(site.longest_ms.values()) < 3_000
+    assert max(site.longest_wait_ms.values()) < 3_000
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_new_owner_keeps_to_the_shares(make_harness, seed):
-    """The owner dies amid the floods; what it knew of the past is lost."""
-    site = play_twenty(make_harness, seed, meanwhile=lambda site: fail_over(site))
+def test_shares_hold_after_a_takeover(make_harness, seed):
+    """The new owner does not know the past usage of the accounts."""
+    site = run_twenty_accounts(
+        make_harness, seed, meanwhile=lambda site: fail_over(site)
+    )
     worst = min(site.in_time(name, 2 * WORK_MS + 1_400) for name in WEIGHTS)
     assert worst >= 0.8
-    assert max(site.longest_ms.values()) < 3_000
+    assert max(site.longest_wait_ms.values()) < 3_000
 
 
 def fail_over(site):
@@ -112,8 +116,8 @@
     site.harness.take_over()
 
 
-def feed(site, for_ms, meanwhile=None, width=40, jobs=1):
-    """Let one account of wide jobs and one of small ones want all the room at once."""
+def overload(site, for_ms, meanwhile=None, width=40, jobs=1):
+    """Overload the cell with wide jobs of one account and small jobs of another."""
     for step in range(int(for_ms // 200)):
         for _ in range(jobs * 40 // width):
             site.send("wide", width)
@@ -125,30 +129,30 @@
 
 
 @pytest.mark.parametrize("meanwhile", [None, fail_over])
-def test_wide_jobs_take_no_more_than_small_ones(make_harness, meanwhile):
-    site = Site(make_harness, {"wide": 0.1, "small": 0.1})
-    feed(site, 6_000, meanwhile, jobs=3)
+def test_wide_jobs_get_no_more_than_small_ones(make_harness, meanwhile):
+    site = FairnessSimulation(make_harness, {"wide": 0.1, "small": 0.1})
+    overload(site, 6_000, meanwhile, jobs=3)
     held = site.mean_held("wide", 60), site.mean_held("small", 60)
-    assert sum(held) > 0.85  # nothing idles that somebody asked for
+    assert sum(held) > 0.85  # no capacity stays idle under load
     assert min(held) > 0.35
 
 
-def test_room_goes_by_weight(make_harness):
-    site = Site(make_harness, {"wide": 0.05, "small": 0.15})
-    feed(site, 8_000, width=10)
+def test_capacity_is_divided_by_weight(make_harness):
+    site = FairnessSimulation(make_harness, {"wide": 0.05, "small": 0.15})
+    overload(site, 8_000, width=10)
     ratio = site.mean_held("small", 80) / site.mean_held("wide", 80)
     assert 2.0 < ratio < 4.5
 
 
-def test_an_idle_share_is_lent_and_comes_back_within_3_s(make_harness):
-    site = Site(make_harness, {"wide": 0.1, "small": 0.1})
+def test_idle_share_is_used_by_others_and_recovers_in_3_s(make_harness):
+    site = FairnessSimulation(make_harness, {"wide": 0.1, "small": 0.1})
     for _ in range(20):
         site.send("wide", 40)
         site.run(200)
     assert site.mean_held("wide", 20) > 0.85
-    feed(site, 3_000)
+    overload(site, 3_000)
     assert site.mean_held("small", 60) > 0.4
-    feed(site, 5_000)  # and it is owed nothing for the time before
+    overload(site, 5_000)  # idle time earns no credit
     assert 0.35 < site.mean_held("wide", 50) < 0.65
 
 
@@ -156,22 +160,22 @@
 
 
 @pytest.mark.parametrize("fields", [{}, {"advice": POLICY, "advisers": 2}])
-def test_an_account_beyond_its_share_does_not_stand_still(make_harness, fields):
-    """Others fill the room and the calls for advice within their shares."""
+def test_account_beyond_its_share_does_not_starve(make_harness, fields):
+    """Other accounts use all capacity and advice calls within their shares."""
     weights = {f"b{number}": 50.0 for number in range(4)} | {"a": 0.1}
-    site = Site(make_harness, weights, workers=4, **fields)
+    site = FairnessSimulation(make_harness, weights, workers=4, **fields)
     queue = "q" if fields else "batch"  # only the urgent queue has a policy
     for _ in range(40):
         for number in range(4):
             site.send(f"b{number}", 4)
         site.send("a", 2, queue=queue)
         site.run(200)
-    assert site.longest_ms["a"] < 3_000
+    assert site.longest_wait_ms["a"] < 3_000
 
 
-def test_logs_and_counters_tell_whose_turn_it_was(make_harness):
-    site = Site(make_harness, {"wide": 0.1, "small": 0.1})
-    feed(site, 3_000)
+def test_logs_and_counters_show_share_decisions(make_harness):
+    site = FairnessSimulation(make_harness, {"wide": 0.1, "small": 0.1})
+    overload(site, 3_000)
     counts = site.harness.counts
     assert counts["within_share"] > 0
     assert counts["beyond_share"] > 0
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_job_rate_shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_job_rate_shares.py
@@ -1,8 +1,4 @@
-"""One account that sends far more than its share beside others that keep to theirs.
-
-The pattern: an account sends several times its usual for seconds while the cell is
-full. What the others get is compared with what they get without it.
-"""
+"""Accounts within their job rate share are not delayed by one that floods the cell."""
 
 import pytest
 
@@ -25,8 +21,8 @@
     harness.submit(f"{number:016x}", job_spec(LOOKUP), queue, account_name=account_name)
 
 
-def ends_of(harness, account_name):
-    """Return when an account's jobs ended after their acceptance."""
+def latencies_ms(harness, account_name):
+    """Return the latency of an account's jobs."""
     return [
         job.ended_ms - job.accepted_ms if job.ended_ms else float("inf")
         for job in harness.cell.context.jobs.values()
@@ -34,8 +30,8 @@
     ]
 
 
-def play(harness, *, flood, for_s=6, queue="q"):
-    """Let a1 send one job each 0.5 s and a0 several at once each 0.1 s."""
+def run_flood(harness, *, flood, for_s=6, queue="q"):
+    """Submit a job of a1 every 0.5 s and `flood` jobs of a0 every 0.1 s."""
     use_accounts(harness, *accounts(2, 2))
     number = 0
     for tenth in range(10 * for_s):
@@ -47,23 +43,23 @@
             submit(harness, number, "a1", queue)
         harness.run(100)
     harness.run(1_500)
-    return ends_of(harness, "a1")
+    return latencies_ms(harness, "a1")
 
 
-def test_a_flood_takes_nothing_from_those_within_their_share(make_harness):
-    alone = play(make_harness(workers=4), flood=0)
-    beside = play(make_harness(workers=4), flood=4)
+def test_flood_does_not_delay_accounts_within_their_share(make_harness):
+    alone = run_flood(make_harness(workers=4), flood=0)
+    beside = run_flood(make_harness(workers=4), flood=4)
     late = [ms for ms in beside if ms > max(alone) + 900]
     assert not late  # each waits for at most one task to end
 
 
-def test_a_flood_of_urgent_work_does_not_hold_up_less_urgent_shares(make_harness):
-    """What is beyond a share runs after all shares, whatever its queue's priority."""
-    beside = play(make_harness(workers=4), flood=4, queue="batch")
+def test_urgent_flood_does_not_delay_less_urgent_shares(make_harness):
+    """Jobs beyond a share run after all others, whatever their queue's priority."""
+    beside = run_flood(make_harness(workers=4), flood=4, queue="batch")
     assert max(beside) < 3_000
 
 
-def test_unused_shares_are_lent(make_harness):
+def test_unused_capacity_is_available_beyond_the_share(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, *accounts(1, 50))
     for number in range(8):
@@ -73,7 +69,7 @@
     assert len(running) == 4  # four workers of eight cores, eight for each job
 
 
-def test_a_short_group_of_jobs_is_within_the_share(make_harness):
+def test_short_burst_is_within_the_share(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, *accounts(5))
     for number in range(12):
@@ -82,7 +78,7 @@
     assert beyond == [False] * 11 + [True]
 
 
-def test_a_share_comes_back_with_time(make_harness):
+def test_share_recovers_over_time(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, *accounts(5))
     for number in range(20):
@@ -92,7 +88,7 @@
     assert not harness.job(f"{20:016x}").is_beyond_share
 
 
-def test_a_new_owner_judges_the_jobs_that_still_live(make_harness):
+def test_new_owner_reclassifies_live_jobs(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, *accounts(5))
     for number in range(14):
@@ -104,7 +100,7 @@
 
 
 @pytest.mark.parametrize("weights", [(), (0,)])
-def test_without_a_share_all_are_within(make_harness, weights):
+def test_jobs_without_a_share_are_always_within(make_harness, weights):
     harness = make_harness(workers=4)
     use_accounts(harness, *accounts(*weights))
     for number in range(30):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts.py
@@ -1,8 +1,6 @@
-"""Parts of a limit pass between cells by need, and come back.
+"""Limit parts move between cells by need, and are returned.
 
-The load: all work of an account comes to one of five cells, or one cell after the
-other has work of it. What callers go by: its jobs run as if there were one cell, and
-no moment sees more of it than its limit.
+Guards against unused limit while an account's jobs wait, and against exceeding it.
 """
 
 import pytest
@@ -15,7 +13,7 @@
 LIMIT_CPU_MILLI = 50_000
 CELLS = 5
 TASK = {"cpu_milli": 2_000, "estimated_ms": 600}
-# A round of asks, an append and an order are under 60 ms.
+# Longer than a round of requests, an append and a start.
 SOON_MS = 100
 
 
@@ -38,7 +36,7 @@
     return [harness.cell.parts.held("a").cpu for harness in group.cells]
 
 
-def test_work_that_is_all_in_one_cell_has_most_of_the_limit_soon(group):
+def test_single_busy_cell_gets_most_of_the_limit_soon(group):
     submit(group, 1, 1, {**TASK, "count": 60, "estimated_ms": 5_000})
     group.run(SOON_MS)
     assert group.cpu_running() >= 0.8 * LIMIT_CPU_MILLI
@@ -46,14 +44,14 @@
     assert group.most_cpu_milli <= LIMIT_CPU_MILLI and not group.violations
 
 
-def test_a_gang_as_wide_as_the_limit_starts_whole_in_any_cell(group):
+def test_gang_as_large_as_the_limit_starts_in_any_cell(group):
     gang = {"cpu_milli": 5_000, "count": 10, "gang": True, "estimated_ms": 400}
     submit(group, 3, 1, gang)
     group.run(400)
     assert group.most_cpu_milli == LIMIT_CPU_MILLI and not group.violations
 
 
-def test_idle_parts_come_back_by_themselves(group):
+def test_idle_parts_are_returned(group):
     submit(group, 1, 1, {**TASK, "count": 24, "estimated_ms": 300})
     group.run(1_500)
     assert state(group, 1, 1) == "succeeded"
@@ -62,7 +60,7 @@
     assert not any("l" == key[0] for cell in group.cells for key in cell.store)
 
 
-def test_a_lender_with_work_has_its_own_part_again_as_runs_end(group):
+def test_lender_with_work_gets_its_own_parts_back(group):
     for number in range(40):
         submit(group, 1, number, {**TASK, "count": 20})
     group.run(500)
@@ -72,7 +70,7 @@
     assert not group.violations
 
 
-def test_two_gangs_of_more_than_half_do_not_wait_for_each_other(group):
+def test_gangs_needing_over_half_do_not_deadlock(group):
     gang = {"cpu_milli": 3_000, "count": 10, "gang": True, "estimated_ms": 400}
     for cell in range(CELLS):
         submit(group, cell, cell, gang)
@@ -81,7 +79,7 @@
     assert states == ["succeeded"] * CELLS and not group.violations
 
 
-def test_a_job_in_each_cell_runs_though_one_cell_has_a_flood(group):
+def test_job_in_each_cell_runs_despite_flood_in_one_cell(group):
     for number in range(60):
         submit(group, 0, number, {**TASK, "count": 20})
     group.run(1_000)
@@ -92,8 +90,8 @@
     assert states == {"succeeded"} and not group.violations
 
 
-def time_of_uneven_work(cells):
-    """Return how long 250 tasks take, of which 175 come to one cell."""
+def uneven_work_duration_ms(cells):
+    """Return how long 250 tasks take, of which 175 are in one cell."""
     group = CellGroup(cells=cells, limit_cpu_milli=LIMIT_CPU_MILLI)
     for number in range(10):
         submit(group, 0 if number < 7 else cells - 1, number, {**TASK, "count": 25})
@@ -103,12 +101,12 @@
     return group.now
 
 
-def test_work_dealt_unevenly_is_done_about_as_soon_as_in_one_cell():
-    assert time_of_uneven_work(CELLS) <= 1.2 * time_of_uneven_work(1)
+def test_unevenly_distributed_work_takes_little_longer():
+    assert uneven_work_duration_ms(CELLS) <= 1.2 * uneven_work_duration_ms(1)
 
 
-def test_an_accelerator_that_no_part_holds_can_be_used():
-    """Of three accelerators no cell among five has a whole one."""
+def test_accelerator_split_between_cells_can_be_used():
+    """With three accelerators and five cells, no cell's own part is a whole one."""
     limit = ResourceLimit(accelerators=3)
     whole = CELLS * PARTS_PER_CELL
     assert limit.part(LimitParts.all_of(PARTS_PER_CELL), whole).accelerators == -1
@@ -116,7 +114,7 @@
     assert limit.part(one, whole).accelerators == 1
 
 
-def test_what_is_idle_asks_and_tells_nothing(group):
+def test_idle_cells_send_no_messages(group):
     submit(group, 1, 1, {**TASK, "count": 2, "estimated_ms": 300})
     group.run(5_000)
     assert state(group, 1, 1) == "succeeded" and group.messages == 0
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts_under_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts_under_faults.py
@@ -1,7 +1,7 @@
-"""No fault of an owner or a link lets an account run more than its limit.
+"""An account never exceeds its limit despite faults of owners and links.
 
-The failures: an owner dies right after it has lent, or after it has borrowed; a link is
-cut; messages are lost, late, doubled or out of order; a limit is lowered meanwhile.
+Covers owners that die after lending or borrowing, link failures, lost, late, repeated
+and reordered messages, and lowered limits.
 """
 
 from random import Random
@@ -16,10 +16,10 @@
 from .test_limit_parts import CELLS, LIMIT_CPU_MILLI, TASK, parts_held, submit
 
 SEEDS = 60
-# A version may be in force for so long after the next one, on the slowest sites.
+# Time for which a configuration may stay in force after its replacement.
 APPLIED_MS = UNKNOWN_ACCOUNT_TIMEOUT_MS
-# A job with room stands still for no longer; callers count on 3 s.
-MOST_STILL_MS = 3_000.0
+# Maximum time for which a job with enough limit may run nothing.
+MAX_STALL_MS = 3_000.0
 
 
 @pytest.fixture
@@ -29,42 +29,40 @@
     return group
 
 
-def fill(group, *, cell=1):
+def submit_large_job(group, *, cell=1):
     submit(group, cell, 1, {**TASK, "count": 60, "estimated_ms": 2_500})
 
 
-def fill_others(group, *, but=1):
+def submit_to_others(group, *, but=1):
     for cell in range(CELLS):
         if cell != but:
             submit(group, cell, 10 + cell, {**TASK, "count": 20})
 
 
-@pytest.mark.parametrize("died_after_ms", range(1, 40, 3))
-def test_a_lender_that_dies_as_it_lends_has_lent_for_its_successor(
-    group, died_after_ms
-):
-    fill(group)
-    group.run(died_after_ms)
+@pytest.mark.parametrize("killed_after_ms", range(1, 40, 3))
+def test_loan_of_killed_lender_binds_its_next_owner(group, killed_after_ms):
+    submit_large_job(group)
+    group.run(killed_after_ms)
     group.kill(0, for_ms=300)
     group.run(500)
-    fill_others(group)
+    submit_to_others(group)
     group.run(5_000)
     assert not group.violations
 
 
-@pytest.mark.parametrize("died_after_ms", [10, 20, 30, 50, 100, 1_000, 2_700, 3_000])
-def test_what_a_borrower_ran_counts_once_another_owns_its_cell(group, died_after_ms):
-    fill(group)
-    group.run(died_after_ms)
+@pytest.mark.parametrize("killed_after_ms", [10, 20, 30, 50, 100, 1_000, 2_700, 3_000])
+def test_runs_of_killed_borrower_count_for_its_next_owner(group, killed_after_ms):
+    submit_large_job(group)
+    group.run(killed_after_ms)
     group.kill(1, for_ms=300)
-    fill_others(group)
+    submit_to_others(group)
     group.run(8_000)
     assert not group.violations
     group.run(12_000)
     assert not any(harness.cell.context.live_jobs for harness in group.cells)
 
 
-def test_what_a_borrower_owed_comes_back_after_its_successor_heard_of_it(group):
+def test_next_owner_returns_parts_of_killed_borrower(group):
     submit(group, 1, 1, {**TASK, "count": 24, "estimated_ms": 300})
     group.run(100)
     group.kill(1, for_ms=300)
@@ -72,11 +70,11 @@
     assert parts_held(group) == [1_000_000] * CELLS
 
 
-def test_a_cut_between_owners_takes_nothing_but_what_was_lent(group):
-    fill(group)
+def test_link_failure_only_withholds_lent_parts(group):
+    submit_large_job(group)
     group.run(100)
     group.is_link_down = lambda one, other: True
-    fill_others(group)
+    submit_to_others(group)
     group.run(4_000)
     assert not group.violations
     group.is_link_down = lambda one, other: False
@@ -86,22 +84,22 @@
     assert parts_held(group) == [1_000_000] * CELLS
 
 
-def test_a_lowered_limit_is_kept_though_parts_are_lent(group):
-    """From a trial of grants in cores: a borrower counted on more than the new part."""
-    fill(group)
+def test_lowered_limit_holds_while_parts_are_lent(group):
+    """Guards against borrowers that keep using the old limit's share."""
+    submit_large_job(group)
     group.run(100)
     group.set_limit(20_000)
-    fill_others(group)
+    submit_to_others(group)
     group.run(15_000)
     assert not group.violations
 
 
-def test_nothing_starts_beside_what_runs_on_over_a_lowered_limit(group):
-    """The cells that are under their own parts leave them to the one that is over."""
+def test_nothing_starts_while_runs_exceed_a_lowered_limit(group):
+    """Cells below their own parts reserve them for the cell that exceeds its parts."""
     group.applied_ms = 400.0
     submit(group, 1, 1, {**TASK, "count": 20, "estimated_ms": 6_000})
     group.run(200)
-    fill_others(group)
+    submit_to_others(group)
     group.run(300)
     group.set_limit(30_000)
     group.run(5_000)
@@ -110,15 +108,15 @@
     assert not any(harness.cell.context.live_jobs for harness in group.cells)
 
 
-def test_a_grant_is_not_taken_before_it_is_stored(group):
+def test_grant_is_not_sent_before_it_is_stored(group):
     group.cells[0].store_down = True
-    fill(group)
+    submit_large_job(group)
     group.run(1_000)
     lender, borrower = group.cells[0].cell, group.cells[1].cell
     assert lender.parts.loans("a") and 0 not in borrower.parts.borrowed_from("a")
 
 
-def test_a_grant_that_comes_again_after_its_parts_went_back_is_passed_over(group):
+def test_repeated_grant_is_ignored_after_parts_were_returned(group):
     grants = []
 
     def delivery_delays(message):
@@ -136,8 +134,8 @@
     assert parts_held(group) == [1_000_000] * CELLS
 
 
-def test_a_grant_to_an_owner_counts_for_no_other_one_of_its_cell(group):
-    """It may come after that owner has given its parts back and died."""
+def test_grant_to_previous_owner_is_ignored(group):
+    """The grant may arrive after that owner has returned its parts and died."""
     grants = []
     group.delivery_delays = lambda message: grants.append(message) or [2.0]
     submit(group, 1, 1, {**TASK, "count": 24, "estimated_ms": 300})
@@ -151,8 +149,8 @@
     assert parts_held(group) == [1_000_000] * CELLS
 
 
-def chance_of_faults(rng):
-    """Return what befalls messages: most come at once, some late, twice or never."""
+def random_delivery_delays(rng):
+    """Return random delivery delays: some messages are late, repeated or lost."""
 
     def delivery_delays(message):
         kind = rng.random()
@@ -178,14 +176,14 @@
     return job_spec({**step, "estimated_ms": rng.randint(100, 1_200)})
 
 
-def play(seed, *, faults_ms, kinds):
-    """Play random work and faults; return the group, still with work to do."""
+def run_random_load(seed, *, faults_ms, kinds):
+    """Run random jobs and faults; return the group with work still to do."""
     rng = Random(seed)
     cells = rng.randint(2, 5)
     group = CellGroup(cells=cells, limit_cpu_milli=30_000, workers=3)
     group.run(60)
     group.applied_ms = APPLIED_MS
-    group.delivery_delays = chance_of_faults(rng)
+    group.delivery_delays = random_delivery_delays(rng)
     until_ms = group.now + faults_ms
     number = 0
     while group.now < until_ms:
@@ -195,12 +193,12 @@
             number += 1
             harness.submit(f"{number:016x}", random_job(rng), account_name="a")
         if rng.random() < 0.15:
-            _disturb(group, rng, kinds)
+            _inject_fault(group, rng, kinds)
         group.run(rng.randint(20, 250))
     return group
 
 
-def _disturb(group, rng, kinds):
+def _inject_fault(group, rng, kinds):
     kind = rng.choice(kinds)
     cell = rng.randrange(len(group.cells))
     if kind == "kill" and not group.cells[cell].dead:
@@ -216,8 +214,8 @@
         group.set_limit(rng.choice([24_000, 30_000]), cells=[group.cells[cell]])
 
 
-def finish(group):
-    """Let all faults be over; tell whether all is done in the end."""
+def drain(group):
+    """End all faults; return whether all jobs end."""
     group.delivery_delays = lambda message: [2.0]
     group.is_link_down = lambda one, other: False
     group.run(1_500)
@@ -231,18 +229,20 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_owners_and_links_fail_at_random(seed):
-    group = play(seed, faults_ms=2_500, kinds=["kill", "cut"])
-    assert finish(group)
+def test_limit_holds_under_random_owner_and_link_faults(seed):
+    group = run_random_load(seed, faults_ms=2_500, kinds=["kill", "cut"])
+    assert drain(group)
     assert not group.violations
-    assert group.longest_stall_ms <= MOST_STILL_MS
+    assert group.longest_stall_ms <= MAX_STALL_MS
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_limits_change_at_random_beside_other_faults(seed):
-    """A lowered limit counts once it is in force everywhere."""
-    group = play(seed, faults_ms=2_500, kinds=["kill", "cut", "limit", "one_limit"])
+def test_limit_holds_under_random_limit_changes_and_faults(seed):
+    """A lowered limit is checked once it is in force everywhere."""
+    group = run_random_load(
+        seed, faults_ms=2_500, kinds=["kill", "cut", "limit", "one_limit"]
+    )
     group.set_limit(24_000)
-    assert finish(group)
+    assert drain(group)
     assert not group.violations
-    assert group.longest_stall_ms <= MOST_STILL_MS
+    assert group.longest_stall_ms <= MAX_STALL_MS
--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_gangs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs on virtual workers: their members work, wait and end as one."""
+"""Gang semantics on virtual workers: members start and end together."""
 
 from collections import defaultdict
 
@@ -8,10 +8,10 @@
 
 
 class VirtualGangs:
-    """Have gangs begin once all of one run are present, and break with a member.
+    """Start gangs once all members are present, and end them with their first member.
 
-    `incomplete_gangs` lists the runs that waited in vain, with when and on which worker;
-    `started_gangs` those runs of steps that were whole once.
+    `incomplete_gangs` lists members that waited in vain, as time, worker and task;
+    `started_gangs` holds the gangs that were complete once.
     """
 
     def __init__(self, *, harness, wait_ms):
@@ -21,13 +21,13 @@
         self.started_gangs = set()
 
     def on_start(self, worker, task, run_id):
-        """Keep a member from ending by itself."""
+        """Prevent a gang member from ending by itself."""
         run = worker.running.get((task, run_id))
         if run is not None and self._harness.step_of(task).gang:
             run.ends_ms = float("inf")
 
     def run(self):
-        """Look the gangs over for as long as the harness runs."""
+        """Update the gangs periodically."""
         while True:
             self._review()
             yield self._harness.env.timeout(STEP_MS)
@@ -61,7 +61,7 @@
             run.ends_ms = ends_ms
 
     def _end_all(self, gang, members):
-        """End what is left of a gang as its first member has ended."""
+        """End the remaining members of a gang after its first one has ended."""
         step, run_id = gang
         how = {
             run.how
--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_site.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_site.py
@@ -1,4 +1,4 @@
-"""The workers and queues that a harness begins with, and jobs for them."""
+"""Default workers, queues and jobs of a harness."""
 
 import itertools
 
@@ -20,14 +20,14 @@
 
 
 def worker_ids(count, *, cell, cell_count):
-    """Return the first ids whose machines are a cell's."""
+    """Return the first worker ids whose machines belong to a cell."""
     ids = (f"w{number}" for number in itertools.count())
     of_cell = (name for name in ids if cell_of(f"m-{name}", cell_count) == cell)
     return list(itertools.islice(of_cell, count))
 
 
 def worker_entries(worker_ids, *, cpu_milli, accelerators, hall):
-    """Return entries of workers over two racks; `hall` tells the hall of a number."""
+    """Return worker entries in two racks; `hall(number)` returns the hall."""
     return [
         WorkerEntry(
             worker_id=worker_id,
@@ -48,7 +48,7 @@
 
 
 def configuration(*, advice, max_attempts):
-    """Return an urgent queue, with a policy if `advice` describes one, and another."""
+    """Return a configuration with an urgent queue and a batch queue."""
     urgent = QueuePolicy(
         name=QUEUE,
         host="h",
@@ -69,7 +69,7 @@
 
 
 def job_spec(*steps, payload="p", **fields):
-    """Return a job of steps given as dictionaries."""
+    """Return a job specification with steps given as dictionaries."""
     return JobSpec(
         payload=payload, steps=tuple(StepSpec(**step) for step in steps), **fields
     )
