--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
@@ -1,24 +1,24 @@
-"""A worker on virtual time: leases, fences, run numbers and ends as the pages say."""
+"""A worker in virtual time, with leases, fences, run numbers and run ends."""
 
 from attrs import define, field
 
 from thymefork_cells import CommandAnswer, EndRow, Refusal, RunRow, WorkerReport
 
-# A lease may reach this far from when it is taken; a longer one is cut.
+# Maximum duration of a lease.
 MAX_HOLD_MS = 10_000.0
-# What the clock of a life shows as it begins.
+# Clock value at the start of an incarnation.
 FIRST_CLOCK_MS = 1.0
 START_EPOCH_MS = 1_700_000_000_000.0
 
 
 @define(kw_only=True, eq=False)
 class VirtualRun:
-    """Follow one run; `ends_ms` is when its work is done.
+    """Track one run; `ends_ms` is when its work will be done.
 
-    `ended_ms` is None while it runs; `is_acknowledged` tells that its end was acknowledged,
-    `is_unfenced` that it was begun late, by an order to a life before this one,
-    before the owner was answered by this one. `stops_ms` is when an answered stop
-    ends it.
+    `ended_ms` is None while it runs, `is_acknowledged` is set once its end was
+    acknowledged. `is_unfenced` is set if it was started by a delayed command to an
+    earlier incarnation, before this one answered the owner. `stop_at_ms` is when an
+    answered stop takes effect.
     """
 
     task: str
@@ -29,22 +29,19 @@
     ended_ms: float | None = None
     is_acknowledged: bool = False
     is_unfenced: bool = False
-    stops_ms: float | None = None
+    stop_at_ms: float | None = None
 
 
 @define(kw_only=True, eq=False, slots=False)
 class VirtualWorker:
-    """Run tasks for `work_ms`; unreachable while `is_unreachable` is set.
-
-    `work_ms_of` tells the work of single tasks; `slow_factor` is its own slowness.
-    Once it `is_replaced`, another life of the worker answers at its address.
-
-    With `stalls_at_completion` its tasks stay at 100%, as of a gang with slower members.
-    The next `ignored_stops` stops are answered and not carried out; any other takes
-    `stop_duration_ms`. Serving tasks have a
-    tail of `tail_ms`; `pace_percents` holds each run's share of its speed, 100 at its start.
-    `history` holds every run of all lives, `lease_lapsed_ms` is when its lease had run out
-    last.
+    """Run tasks for `work_ms`, or as long as `work_ms_of` says, times `slow_factor`.
+
+    Once it `is_replaced`, another incarnation answers at its address. With
+    `stalls_at_completion` its tasks stay at 100%, like those of a gang with slower
+    members. The next `ignored_stops` stops are answered but not carried out; others
+    take `stop_duration_ms`. Serving tasks have a latency tail of `tail_ms`.
+    `pace_percents` holds the pace of each run. `history` holds the runs of all
+    incarnations, `lease_lapsed_ms` is when the lease last expired.
     """
 
     worker_id: str
@@ -77,7 +74,7 @@
         return round(now_ms + self.clock_offset_ms)
 
     def end_life(self, now_ms):
-        """Lose all that the worker holds and knows; it is out of reach."""
+        """Lose all runs and state, and become unreachable."""
         self.advance(now_ms)
         for run in self.running.values():
             run.how, run.ended_ms = "gone", now_ms
@@ -85,7 +82,7 @@
         self.is_unreachable = True
 
     def begin_life(self, now_ms):
-        """Begin anew under the same id, with all counts."""
+        """Start a new incarnation under the same id."""
         self.is_unreachable = False
         self.born_epoch_ms = max(self.born_epoch_ms + 1, int(START_EPOCH_MS + now_ms))
         self.clock_offset_ms = FIRST_CLOCK_MS - now_ms
@@ -96,12 +93,12 @@
         self.next_end = 1
 
     def advance(self, now_ms):
-        """End what is done and, once the lease is over, everything."""
+        """End completed runs and, once the lease has expired, all others."""
         self.now_ms = now_ms
         for key, run in list(self.running.items()):
             in_time = run.ends_ms < self.lease_until_ms and not self.is_stalled
             in_time = in_time and not self.stalls_at_completion
-            if run.stops_ms is not None and now_ms >= run.stops_ms:
+            if run.stop_at_ms is not None and now_ms >= run.stop_at_ms:
                 self._end(key, "stopped")
             elif in_time and now_ms >= run.ends_ms:
                 self._end(key, run.how)
@@ -109,7 +106,7 @@
                 self._end(key, "lapsed")
 
     def end(self, key, how):
-        """End a run for what befell it elsewhere."""
+        """End a run for an external reason."""
         self._end(key, how)
 
     def _end(self, key, how):
@@ -125,14 +122,14 @@
         self.next_end += 1
 
     def _ended_ms(self, run):
-        """Return when a run ended, which may have been some time before now."""
+        """Return when a run ended, which may be before now."""
         if run.how == "lapsed":
             return min(self.now_ms, self.lease_until_ms)
         return min(self.now_ms, run.ends_ms)
 
     def start(self, task, run_id, fence, deadline_clock_ms, now_ms):
         self.advance(now_ms)
-        refusal = self._judge(task, run_id, fence, deadline_clock_ms, now_ms)
+        refusal = self._refusal_of(task, run_id, fence, deadline_clock_ms, now_ms)
         if refusal is None:
             self._take_lease(deadline_clock_ms, now_ms)
             work_ms = self.work_ms_of.get(task, self.work_ms)
@@ -158,7 +155,7 @@
         until_ms = min(deadline_clock_ms - self.clock_offset_ms, now_ms + MAX_HOLD_MS)
         self.lease_until_ms = max(self.lease_until_ms, until_ms)
 
-    def _judge(self, task, run_id, fence, deadline_clock_ms, now_ms):
+    def _refusal_of(self, task, run_id, fence, deadline_clock_ms, now_ms):
         if fence < self.fence:
             return Refusal.FENCED
         self.fence = fence
@@ -177,8 +174,8 @@
             return CommandAnswer(clock_ms=self.clock(now_ms))
         self.closed[task] = max(run_id, self.closed.get(task, 0))
         run = self.running.get((task, run_id))
-        if run is not None and run.stops_ms is None:
-            run.stops_ms = now_ms + self.stop_duration_ms
+        if run is not None and run.stop_at_ms is None:
+            run.stop_at_ms = now_ms + self.stop_duration_ms
         self.advance(now_ms)
         return CommandAnswer(clock_ms=self.clock(now_ms))
 
@@ -197,7 +194,7 @@
         self.fence = fence
         if deadline_clock_ms:
             self._take_lease(deadline_clock_ms, now_ms)
-        self._note_ends(last_end)
+        self._acknowledge_ends(last_end)
         self.ended = [row for row in self.ended if row.number > last_end]
         running = tuple(
             RunRow(
@@ -216,14 +213,16 @@
             born_epoch_ms=self.born_epoch_ms,
         )
 
-    def _note_ends(self, last_end):
-        """Take note of ends, but for those after which the lease has lapsed."""
+    def _acknowledge_ends(self, last_end):
+        """Mark reported ends as acknowledged, unless the lease has expired since."""
         lease_lapsed_ms = self.lease_lapsed_ms
         if self.now_ms > self.lease_until_ms:
             lease_lapsed_ms = self.lease_until_ms
-        noted = {(row.task, row.run_id) for row in self.ended if row.number <= last_end}
+        acknowledged = {
+            (row.task, row.run_id) for row in self.ended if row.number <= last_end
+        }
         for run in self.history:
-            if (run.task, run.run_id) in noted and run.how != "gone":
+            if (run.task, run.run_id) in acknowledged and run.how != "gone":
                 run.is_acknowledged = (
                     run.is_acknowledged or run.ended_ms > lease_lapsed_ms
                 )
