--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_borrower.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_borrower.py
@@ -32,7 +32,7 @@
         """Request missing parts, and return recalled ones."""
         for name in self._ledger.recalled_accounts:
             self._returner.apply_recalls(name, self._accounts[name], now_ms)
-        self._requester.ask(self._accounts, now_ms)
+        self._requester.request(self._accounts, now_ms)
 
     def due_ms(self, now_ms):
         """Return when the next request is due."""
@@ -42,20 +42,20 @@
         """Request parts for uncovered runs, and return idle parts."""
         self._requester.cover_runs(self._accounts, now_ms)
         for name in self._ledger.borrowed_accounts:
-            if self._needs.knows(name):
+            if self._needs.has_known_limit(name):
                 account = self._accounts[name]
                 self._returner.review(name, account, is_wanted(name), now_ms)
 
-    def on_recall(self, ask, now_ms):
+    def on_recall(self, request, now_ms):
         """Return parts that a lender requests back."""
-        if self._needs.knows(ask.account):
-            account = self._accounts[ask.account]
-            self._returner.on_recall(account, ask, now_ms)
+        if self._needs.has_known_limit(request.account):
+            account = self._accounts[request.account]
+            self._returner.on_recall(account, request, now_ms)
 
     def on_grant(self, grant, now_ms):
         """Take a grant unless it is for another owner or outdated."""
         if grant.borrower_epoch < self._context.epoch:
-            self._returner.tell_epoch(grant.account, grant.lender)
+            self._returner.report_epoch(grant.account, grant.lender)
         elif grant.borrower_epoch > self._context.epoch:
             self._context.count("limit_parts", "later_owner")
         else:
@@ -67,7 +67,7 @@
         name, key = grant.account, (grant.lender_epoch, grant.number)
         known = self._ledger.borrowed_from(name).get(grant.lender)
         if known is not None and key == known.grant:
-            self._returner.tell(name, grant.lender)
+            self._returner.report_held(name, grant.lender)
             return
         if known is not None and key < known.grant:
             self._context.count("limit_parts", "late_grant")
@@ -77,6 +77,6 @@
         account = self._accounts[name]
         account.idle = None
         if grant.parts.minus(before):
-            soon_ms = max(now_ms + GRANT_COLLECTION_MS, account.paused_until_ms)
+            soon_ms = max(now_ms + GRANT_COLLECTION_MS, account.backoff_until_ms)
             account.due_ms = min(account.due_ms, soon_ms)
             self._context.count("limit_parts", "borrowed")
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
@@ -45,9 +45,9 @@
         raise TypeError(f"{type(message).__name__} is not a limit part message")
 
     @on_message.register
-    def _on_ask(self, ask: RequestParts, *, now_ms):
-        self._borrower.on_recall(ask, now_ms)
-        self._lender.on_ask(ask, now_ms)
+    def _on_ask(self, request: RequestParts, *, now_ms):
+        self._borrower.on_recall(request, now_ms)
+        self._lender.on_request(request, now_ms)
 
     @on_message.register
     def _on_grant(self, grant: GrantParts, *, now_ms):
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_lender.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_lender.py
@@ -38,19 +38,19 @@
         self._epochs = {}  # latest owner epoch seen, by cell
         self._resend_due_ms = context.taken_over_ms
 
-    def on_ask(self, ask, now_ms):
+    def on_request(self, request, now_ms):
         """Lend what is available now, and keep the rest of the request."""
-        if not self._is_latest(ask):
+        if not self._is_latest(request):
             return
-        waiting = self._requests.setdefault(ask.account, {})
-        waiting.pop(ask.borrower, None)
-        if ask.least or ask.most:
-            waiting[ask.borrower] = (ask, now_ms + REQUEST_TTL_MS)
-        if self._regrant(ask, now_ms):
-            waiting.pop(ask.borrower, None)  # it sends a new request
-        lent_to = self.serve(ask.account, now_ms)
-        if ask.borrower in waiting and ask.borrower not in lent_to:
-            self._refuse(ask, now_ms)
+        waiting = self._requests.setdefault(request.account, {})
+        waiting.pop(request.borrower, None)
+        if request.least or request.most:
+            waiting[request.borrower] = (request, now_ms + REQUEST_TTL_MS)
+        if self._regrant(request, now_ms):
+            waiting.pop(request.borrower, None)  # it sends a new request
+        lent_to = self.serve(request.account, now_ms)
+        if request.borrower in waiting and request.borrower not in lent_to:
+            self._refuse(request, now_ms)
 
     def on_hold(self, hold, now_ms):
         """Reduce a loan to what the borrower still holds."""
@@ -111,10 +111,12 @@
         requests = self._live_requests(name, now_ms)
         allocations = self._allocations(name, requests, now_ms)
         for borrower, amount in allocations.items():
-            ask, until_ms = self._requests[name][borrower]
+            request, until_ms = self._requests[name][borrower]
             self._lend(name, borrower, amount, now_ms)
             left = evolve(
-                ask, least=ask.least.minus(amount), most=ask.most.minus(amount)
+                request,
+                least=request.least.minus(amount),
+                most=request.most.minus(amount),
             )
             self._requests[name][borrower] = (left, until_ms)
             if not left.least and not left.most:
@@ -125,9 +127,9 @@
     def _reserve_for_runs(self, name):
         """Reserve own parts for uncovered runs of other cells."""
         reserved = NONE
-        for ask, _ in self._requests.get(name, {}).values():
-            if ask.covers_runs:
-                reserved += ask.least
+        for request, _ in self._requests.get(name, {}).values():
+            if request.covers_runs:
+                reserved += request.least
         self._ledger.set_reserved(name, reserved)
 
     def _live_requests(self, name, now_ms):
@@ -138,17 +140,19 @@
                 del waiting[borrower]
         if not waiting:
             self._requests.pop(name, None)
-        return sorted((ask for ask, _ in waiting.values()), key=attrgetter("order"))
+        return sorted(
+            (request for request, _ in waiting.values()), key=attrgetter("order")
+        )
 
     def _allocations(self, name, requests, now_ms):
         """Return the parts to lend now, by borrower."""
         allocations = {}
         given = NONE
-        for ask in requests:
-            amount = ask.least.elementwise_min(
-                self._idle(name, now_ms, ask).minus(given)
+        for request in requests:
+            amount = request.least.elementwise_min(
+                self._idle(name, now_ms, request).minus(given)
             )
-            allocations[ask.borrower] = amount
+            allocations[request.borrower] = amount
             given += amount
         if requests:
             spare = (
@@ -157,29 +161,29 @@
                 .minus(given)
                 .split(len(requests))
             )
-            for ask in requests:
-                amount = allocations[ask.borrower]
-                allocations[ask.borrower] = amount + ask.most.minus(
+            for request in requests:
+                amount = allocations[request.borrower]
+                allocations[request.borrower] = amount + request.most.minus(
                     amount
                 ).elementwise_min(spare)
         return {borrower: amount for borrower, amount in allocations.items() if amount}
 
-    def _idle(self, name, now_ms, ask=None):
+    def _idle(self, name, now_ms, request=None):
         """Return own parts that may be lent to a request.
 
         Borrowed parts go back to their lenders and are not lent on.
         """
-        if not self._needs.knows(name):
+        if not self._needs.has_known_limit(name):
             return NONE
-        yields = ask is not None and self._goes_first(ask, now_ms)
+        yields = request is not None and self._goes_first(request, now_ms)
         wanted = self._needs.used(name) if yields else self._needs.wanted(name)
         return self._ledger.unlent(name).minus(wanted)
 
-    def _goes_first(self, ask, now_ms):
+    def _goes_first(self, request, now_ms):
         """Return whether a request goes before the steps that wait here."""
-        name = ask.account
+        name = request.account
         first = self._needs.required_to_start(name)
-        if ask.covers_runs:
+        if request.covers_runs:
             return True
         if not first.minus(self._ledger.usable(name)):
             return False  # the local step starts in the next plan
@@ -187,7 +191,7 @@
         age_ms = now_ms - demand.since_ms
         since_epoch_ms = round(self._context.epoch_ms() - age_ms)
         is_within = not first.minus(OWN)
-        return ask.order < (not is_within, since_epoch_ms, self._context.cell)
+        return request.order < (not is_within, since_epoch_ms, self._context.cell)
 
     def _lend(self, name, borrower, more, now_ms):
         loan = self._ledger.lend(
@@ -224,10 +228,10 @@
         )
         self._context.journal.after(grant)
 
-    def _refuse(self, ask, now_ms):
+    def _refuse(self, request, now_ms):
         """Reply at once that nothing can be lent now."""
-        name = ask.account
-        if not self._needs.knows(name):
+        name = request.account
+        if not self._needs.has_known_limit(name):
             reason = "refused_unknown_account"
         elif not self._ledger.unlent(name):
             reason = "refused_all_lent"
@@ -238,8 +242,8 @@
             account=name,
             lender=self._context.cell,
             lender_epoch=self._context.epoch,
-            borrower=ask.borrower,
-            borrower_epoch=ask.borrower_epoch,
+            borrower=request.borrower,
+            borrower_epoch=request.borrower_epoch,
             number=0,
             parts=NONE,
             free=self._idle(name, now_ms),
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_returner.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_returner.py
@@ -26,17 +26,17 @@
         self._needs = needs
         self._requester = requester
 
-    def on_recall(self, account, ask, now_ms):
+    def on_recall(self, account, request, now_ms):
         """Stop starting work on parts that a lender recalls."""
-        row = self._ledger.borrowed_from(ask.account).get(ask.borrower)
+        row = self._ledger.borrowed_from(request.account).get(request.borrower)
         if row is None:
             return
-        account.recalls.pop(ask.borrower, None)
-        parts = ask.most.elementwise_min(row.parts)
+        account.recalls.pop(request.borrower, None)
+        parts = request.most.elementwise_min(row.parts)
         if parts:
-            account.recalls[ask.borrower] = (parts, now_ms + RECALL_TTL_MS)
+            account.recalls[request.borrower] = (parts, now_ms + RECALL_TTL_MS)
             self._context.count("limit_parts", "recalled")
-        self.apply_recalls(ask.account, account, now_ms)
+        self.apply_recalls(request.account, account, now_ms)
 
     def apply_recalls(self, name, account, now_ms):
         """Return recalled parts that no run uses any more."""
@@ -66,12 +66,12 @@
             self._return_from_any(name, account.idle, reason)
             account.idle = None
 
-    def tell(self, name, lender):
+    def report_held(self, name, lender):
         """Report the parts held under a lender's latest grant."""
         row = self._ledger.borrowed_from(name)[lender]
         self._send_held(name, lender, row.grant, row.parts)
 
-    def tell_epoch(self, name, lender):
+    def report_epoch(self, name, lender):
         """Report this owner's epoch to a lender that granted to an earlier one."""
         self._send_held(name, lender, (0, 0), LimitParts())
 
@@ -92,7 +92,7 @@
         self._return_from_any(name, unused, "could_not_begin")
         self._requester.stop(name)
         backoff_ms = BACKOFF_MS + BACKOFF_PER_CELL_MS * self._context.cell
-        account.due_ms = account.paused_until_ms = now_ms + backoff_ms
+        account.due_ms = account.backoff_until_ms = now_ms + backoff_ms
 
     def _return_from_any(self, name, parts, reason):
         for lender, row in self._ledger.borrowed_from(name).items():
@@ -103,8 +103,8 @@
 
     def _return(self, name, lender, parts, reason):
         """Return parts to a lender, and report what is still held."""
-        self._ledger.give_back(name, lender, parts)
-        self.tell(name, lender)
+        self._ledger.return_parts(name, lender, parts)
+        self.report_held(name, lender)
         self._context.count("limit_parts", f"returned_{reason}")
         self._context.note(
             "parts_returned",
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
@@ -182,7 +182,7 @@
         self._borrowed.setdefault(name, {})[lender] = row
         self._update_borrowed(name)
 
-    def give_back(self, name, lender, parts):
+    def return_parts(self, name, lender, parts):
         """Subtract returned parts from a loan."""
         row = self._borrowed[name][lender]
         row.parts = row.parts.minus(parts)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -96,7 +96,7 @@
         self.append_latency_ms = lambda: APPEND_MS
         self.cycle_interval_ms = lambda: CYCLE_INTERVAL_MS
         self.crashes_after_ms = lambda task: None
-        self.back_after_ms = 2_800.0
+        self.return_delay_ms = 2_800.0
         self.keeps_worker_ids = False
         self.entry_delay_ms = 0.0
         self.crashes = []
