--- a/packages/thymefork-cells/src/thymefork_cells/state/isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/isolation.py
@@ -1,4 +1,4 @@
-"""A worker on which a task is tried that may crash it."""
+"""Isolation of a job that may crash workers."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class Isolation:
-    """Hold the job whose tasks alone a worker takes, and until when at the latest.
+    """Reserve a worker for the tasks of one job, until `until_ms` at the latest.
 
     Units: `until_ms` on the steady clock.
     """
--- a/packages/thymefork-cells/src/thymefork_cells/state/run.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/run.py
@@ -91,7 +91,7 @@
 
     @property
     def has_known_duration(self):
-        """Return whether its whole duration was seen by this owner."""
+        """Return whether its elapsed time covers its task from the beginning."""
         if self.state is not RunState.LIVE or not self.began_ms:
             return False
         return not self.resumed and not self.started_by_previous_owner
@@ -139,7 +139,7 @@
 
     @property
     def may_continue(self):
-        """Return whether it is not known to have to stop."""
+        """Return whether it may continue, as far as is known."""
         return self.is_active or self.state is RunState.RECOVERED
 
     @property
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -142,14 +142,14 @@
         if self.runs.pop(run.key, None) is None:
             return
         self.stopped.discard(run.key)
-        self._end_trial(run.task.step.job)
+        self._end_isolation(run.task.step.job)
         step = run.step
         run.task.step.job.usage.remove(step)
         self.held_cpu_milli -= step.reserved_cpu_milli
         self.held_memory_mb -= step.memory_mb
         self.held_accelerators -= step.accelerators
 
-    def _end_trial(self, job):
+    def _end_isolation(self, job):
         """End a job's isolation once none of its runs is left here."""
         if self.trial is None or self.trial.job is not job:
             return
