--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_requester.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_requester.py
@@ -112,10 +112,10 @@
             self._requested_accounts.add(name)
             account.rounds = 0
         if now_ms - account.requested_ms > MAX_RETRY_MS:
-            account.wait_ms = INITIAL_RETRY_MS
+            account.retry_interval_ms = INITIAL_RETRY_MS
         account.requested, account.requested_ms = least, now_ms
-        account.due_ms = now_ms + account.wait_ms
-        account.wait_ms = min(MAX_RETRY_MS, 2 * account.wait_ms)
+        account.due_ms = now_ms + account.retry_interval_ms
+        account.retry_interval_ms = min(MAX_RETRY_MS, 2 * account.retry_interval_ms)
         account.rounds += 1
         self._send_all(name, account, least, most, since_epoch_ms)
         reason = "asked" if since_epoch_ms else "asked_for_runs"
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -11,7 +11,7 @@
 # A suspected worker that doesn't answer a poll for this long is silent.
 SILENT_MS = 100.0
 # A worker this many times slower than the average counts as faulty.
-FAR_SLOWER = 4.0
+FAR_SLOWER_FACTOR = 4.0
 
 
 @define(kw_only=True, eq=False)
@@ -79,13 +79,13 @@
     acknowledged_end: int = 0
     outdated_reports_in_row: int = 0
     health: WorkerHealth = field(factory=lambda: WorkerHealth())
-    trial: object = None
+    isolation: object = None
     slowness: float = 1.0
 
     @property
     def is_far_slower(self):
         """Return whether it is permanently slower than healthy workers may be."""
-        return self.slowness > FAR_SLOWER
+        return self.slowness > FAR_SLOWER_FACTOR
 
     @property
     def is_least_preferred(self):
@@ -151,10 +151,10 @@
 
     def _end_isolation(self, job):
         """End a job's isolation once none of its runs is left here."""
-        if self.trial is None or self.trial.job is not job:
+        if self.isolation is None or self.isolation.job is not job:
             return
         if all(run.task.step.job is not job for run in self.runs.values()):
-            self.trial = None
+            self.isolation = None
 
     def runs_of_others(self, job):
         """Return the runs of all other jobs."""
@@ -162,8 +162,8 @@
 
     def admits(self, job, now_ms):
         """Return whether the isolation, if any, allows a job's tasks."""
-        trial = self.trial
-        return trial is None or trial.job is job or now_ms >= trial.until_ms
+        isolation = self.isolation
+        return isolation is None or isolation.job is job or now_ms >= isolation.until_ms
 
     @property
     def free_cpu_milli(self):
