--- a/packages/thymefork-cells/src/thymefork_cells/cell.py
+++ b/packages/thymefork-cells/src/thymefork_cells/cell.py
@@ -179,8 +179,8 @@
             self.placer.plan(now_ms)
         parts_ms = self.exchange.run_cycle(now_ms)
         self.commands.send_stops(now_ms)
-        look_ms = self.poller.schedule(now_ms)
-        return min(look_ms, parts_ms, self._review_due_ms)
+        poll_ms = self.poller.schedule(now_ms)
+        return min(poll_ms, parts_ms, self._review_due_ms)
 
     def _forget_ended(self, now_ms):
         oldest_ms = now_ms - self.context.bounds.status_retention_ms * 1.5
@@ -245,13 +245,13 @@
         if worker.is_over:
             return
         born_epoch_ms = report.born_epoch_ms
-        verdict = self.incarnations.match_report(worker, born_epoch_ms, now_ms)
-        if verdict is IncarnationMatch.NEXT:
+        match = self.incarnations.match_report(worker, born_epoch_ms, now_ms)
+        if match is IncarnationMatch.NEXT:
             entry = self.incarnations.placeholder_entry(worker)
             self.incarnations.begin(
                 worker, entry=entry, born_epoch_ms=born_epoch_ms, now_ms=now_ms
             )
-        elif verdict is IncarnationMatch.EARLIER:
+        elif match is IncarnationMatch.EARLIER:
             self.incarnations.count_ignored_report(born_epoch_ms)
             self.poller.on_poll_unanswered(worker, quick=quick, now_ms=now_ms)
         else:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/command_transport.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/command_transport.py
@@ -35,7 +35,7 @@
         if worker.is_replaced:
             yield self._harness.env.timeout(COMMAND_LATENCY_MS)
             answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
-        elif self._is_delayed(effect, worker, self._deliver_start, start):
+        elif self._schedule_if_delayed(effect, worker, self._deliver_start, start):
             self.starts_unanswered[run.task.name] += 1
             yield self._harness.env.timeout(COMMAND_TIMEOUT_MS)
             answer = CommandAnswer(refusal=Refusal.SILENCE)
@@ -67,7 +67,7 @@
         if answer.refusal is Refusal.NONE:
             self._harness.check_capacity(worker, task)
             if self._harness.gangs is not None:
-                self._harness.gangs.on_start(worker, task, command[0])
+                self._harness.gangs.on_run_started(worker, task, command[0])
         after_ms = self._harness.crashes_after_ms(task)
         if answer.refusal is Refusal.NONE and after_ms is not None:
             self._harness.env.process(
@@ -75,7 +75,7 @@
             )
         return answer
 
-    def _is_delayed(self, effect, worker, command, arguments):
+    def _schedule_if_delayed(self, effect, worker, command, arguments):
         """Schedule a delayed command; return whether it is delayed."""
         command_delay_ms = self._harness.command_delay_ms(effect)
         if command_delay_ms:
@@ -102,10 +102,10 @@
 
         Before that, no fence can have reached it.
         """
-        followed = self._harness.cell.context.workers.get(worker.worker_id)
-        if followed is None or followed.born_epoch_ms != worker.born_epoch_ms:
+        tracked = self._harness.cell.context.workers.get(worker.worker_id)
+        if tracked is None or tracked.born_epoch_ms != worker.born_epoch_ms:
             return False
-        return followed.answered_poll_ms > 0
+        return tracked.answered_poll_ms > 0
 
     @staticmethod
     def _deliver_stop(worker, *command):
@@ -119,7 +119,7 @@
         run = effect.run
         worker = self._harness.workers[run.worker.worker_id]
         stop = (*run.key, run.worker.fence(cell.context.epoch))
-        late = self._is_delayed(effect, worker, self._deliver_stop, stop)
+        late = self._schedule_if_delayed(effect, worker, self._deliver_stop, stop)
         if worker.is_replaced:
             yield self._harness.env.timeout(COMMAND_LATENCY_MS)
             answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
@@ -161,7 +161,7 @@
         )
         poll = (fence, 0, 0.0) if is_first else (fence, effect.last_end, deadline_ms)
         wait_ms = 0 if is_first else effect.wait_ms
-        if self._is_delayed(effect, worker, self._deliver_poll, poll):
+        if self._schedule_if_delayed(effect, worker, self._deliver_poll, poll):
             yield self._harness.env.timeout(COMMAND_TIMEOUT_MS)
             if self._harness.is_current(cell):
                 cell.poller.on_poll_unanswered(
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_dominant_shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_dominant_shares.py
@@ -23,7 +23,7 @@
 
     def __init__(self, make_harness, weights, workers=WORKERS, **fields):
         self.harness = make_harness(workers=workers, cpu_milli=CORES, **fields)
-        self.room = workers * CORES
+        self.total_cpu_milli = workers * CORES
         policies = [AccountPolicy(name=name, weight=w) for name, w in weights.items()]
         use_accounts(self.harness, *policies)
         self.sent = {}
@@ -48,7 +48,7 @@
             cpu[self.sent[task.split(".")[0]]] += 2_000
         live = {job.account_name for job in self.jobs() if job.is_live}
         for name, held in self.held.items():
-            held.append(cpu[name] / self.room)
+            held.append(cpu[name] / self.total_cpu_milli)
             waits = name in live and not cpu[name]
             self.waiting_ms[name] = (
                 self.waiting_ms[name] + interval_ms if waits else 0.0
--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_gangs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_gangs.py
@@ -20,7 +20,7 @@
         self.incomplete_gangs = []
         self.started_gangs = set()
 
-    def on_start(self, worker, task, run_id):
+    def on_run_started(self, worker, task, run_id):
         """Prevent a gang member from ending by itself."""
         run = worker.running.get((task, run_id))
         if run is not None and self._harness.step_of(task).gang:
