--- a/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
@@ -17,7 +17,7 @@
     `delivery_delays(message)` returns the delay of each copy of a message in
     milliseconds, none if it is lost. `is_link_down(one, other)` returns whether two
     owners can't reach each other. A replaced limit may be in force for another
-    `applied_ms`. `most_cpu_milli` is the account's maximum cpu over all cells;
+    `applied_ms`. `max_cpu_milli` is the account's maximum cpu over all cells;
     `violations` lists when it exceeded every limit in force.
     """
 
@@ -28,7 +28,7 @@
         self._replaced = []
         self.applied_ms = 50.0
         self.violations = []
-        self.most_cpu_milli = 0
+        self.max_cpu_milli = 0
         self.stalled_since = {}
         self.longest_stall_ms = 0.0
         self.messages = 0
@@ -73,7 +73,7 @@
     def kill(self, cell, *, for_ms):
         """Kill the owner of a cell; a new one takes over after a while."""
         harness = self.cells[cell]
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run_after(for_ms, harness.take_over)
 
     def cpu_running(self, cell=None):
@@ -97,7 +97,9 @@
     def _deliver(self, message, after_ms):
         yield self.env.timeout(after_ms)
         harness = self.cells[message.to_cell]
-        if not harness.dead and not self.is_link_down(message.borrower, message.lender):
+        if not harness.is_owner_down and not self.is_link_down(
+            message.borrower, message.lender
+        ):
             harness.cell.on_parts(message, now_ms=self.now)
 
     # Invariants ----------------------------------------------------------------
@@ -110,7 +112,7 @@
             if running > most_before and running > self._highest_limit():
                 self.violations.append((self.now, running))
             most_before = running
-            self.most_cpu_milli = max(self.most_cpu_milli, running)
+            self.max_cpu_milli = max(self.max_cpu_milli, running)
             if self.now % 50 == 0:
                 self._check_stalls(running)
             yield self.env.timeout(5)
@@ -129,7 +131,7 @@
         """Record how long a job has run nothing with under half of the limit in use."""
         is_under_half = 2 * running < min(map(_limit_of, self.cells))
         for harness in self.cells:
-            if harness.dead:
+            if harness.is_owner_down:
                 continue
             for job in harness.cell.context.live_jobs.values():
                 if job.runs or not is_under_half:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -111,7 +111,7 @@
         self.counts = Counter()
         self.asked = []
         self.allowed = lambda step, worker_id: True
-        self.dead = False
+        self.is_owner_down = False
         self.cell = None
         self.epoch = 0
         self.announced_ends = []
@@ -124,7 +124,7 @@
     def take_over(self):
         """Start a new owner from the stored state."""
         self.epoch += 1
-        self.dead = False
+        self.is_owner_down = False
         self.transport.forget_connections()
         self.appending = False
         self.cell = Cell(
@@ -250,7 +250,7 @@
     # The owner's part ----------------------------------------------------------
 
     def _run_cycles(self, cell):
-        while cell is self.cell and not self.dead:
+        while cell is self.cell and not self.is_owner_down:
             self._turn(cell)
             yield self.env.timeout(self.cycle_interval_ms())
 
@@ -271,7 +271,7 @@
 
     def _append(self, cell, batch):
         yield self.env.timeout(self.append_latency_ms())
-        if cell is not self.cell or self.dead:
+        if cell is not self.cell or self.is_owner_down:
             return
         self.appending = False
         if self.store_down:
@@ -318,12 +318,12 @@
 
     def is_current(self, cell):
         """Return whether a cell still has its owner."""
-        return cell is self.cell and not self.dead
+        return cell is self.cell and not self.is_owner_down
 
     def publish_worker_list(self, entries):
         """Change the platform's worker list; the owner reads it if the store is up."""
         self.entries = entries
-        if not self.dead and not self.store_down:
+        if not self.is_owner_down and not self.store_down:
             self.cell.registry.update(entries, now_ms=self.now)
 
     def crash(self, worker):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_dominant_shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_dominant_shares.py
@@ -111,7 +111,7 @@
 
 
 def fail_over(site):
-    site.harness.dead = True
+    site.harness.is_owner_down = True
     site.run(300)
     site.harness.take_over()
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
@@ -73,7 +73,7 @@
     def clock(self, now_ms):
         return round(now_ms + self.clock_offset_ms)
 
-    def end_life(self, now_ms):
+    def end_incarnation(self, now_ms):
         """Lose all runs and state, and become unreachable."""
         self.advance(now_ms)
         for run in self.running.values():
@@ -81,7 +81,7 @@
         self.running.clear()
         self.is_unreachable = True
 
-    def begin_life(self, now_ms):
+    def begin_incarnation(self, now_ms):
         """Start a new incarnation under the same id."""
         self.is_unreachable = False
         self.born_epoch_ms = max(self.born_epoch_ms + 1, int(START_EPOCH_MS + now_ms))
