--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advisers.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advisers.py
@@ -2,12 +2,12 @@
 
 from types import SimpleNamespace
 
-from thymefork_cells.effects import AskAdvice
+from thymefork_cells.effects import RequestAdvice
 from thymefork_daemon.owner import Advisers, advisers as advisers_module
 
 from .fakes import FakeMetrics
 
-CLOCKED = (advisers_module,)
+CLOCK_MODULES = (advisers_module,)
 
 NAMES = [f"edge-{number}" for number in range(10)]
 
@@ -36,7 +36,7 @@
 def make(
     timers,
     links,
-    turn,
+    run_cycle,
     on_answer=lambda *answer: None,
     instance="edge-own",
     client=None,
@@ -47,7 +47,7 @@
         timers=timers,
         metrics=FakeMetrics(),
         instance=instance,
-        turn=turn,
+        run_cycle=run_cycle,
         on_answer=on_answer,
         tell_withdrawn=tell_withdrawn,
     )
@@ -57,7 +57,7 @@
 
 def long_call(name="s", cost_ms=900.0):
     step = SimpleNamespace(name=name, job=SimpleNamespace(is_live=True))
-    return AskAdvice(step=step, worker_ids=("w",), cost_ms=cost_ms, priority=1)
+    return RequestAdvice(step=step, worker_ids=("w",), cost_ms=cost_ms, priority=1)
 
 
 def note_steps(names):
@@ -75,8 +75,8 @@
 def test_two_owners_begin_with_different_instances(timers):
     """From cab-bogota-grown, scale-2: a harvest waited 12 s for its tickets (LOST)."""
     links = [FakeLink(name) for name in NAMES]
-    for turn in (0.0, 0.5):
-        advisers = make(timers, links, turn)
+    for run_cycle in (0.0, 0.5):
+        advisers = make(timers, links, run_cycle)
         for _ in range(4):
             advisers.ask(long_call())
     assert max(len(link.sent) for link in links) == 1
@@ -98,7 +98,7 @@
     for _ in range(20):
         advisers.ask(long_call())
     step = SimpleNamespace(name="late", job=SimpleNamespace(is_live=True))
-    advisers.ask(AskAdvice(step=step, worker_ids=("w",), cost_ms=900.0, priority=2))
+    advisers.ask(RequestAdvice(step=step, worker_ids=("w",), cost_ms=900.0, priority=2))
     for _ in range(12):
         timers.run(250)
         advisers.ask(long_call())
