--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_uneven_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
@@ -108,7 +108,7 @@
             never_learn(site)
         site.load(LOAD_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
         starts.append({name: w.starts for name, w in site.workers.items()})
-        assert not site.cell.speeds.is_uneven
+        assert not site.cell.speeds.is_heterogeneous
     assert starts[0] == starts[1]
 
 
@@ -168,13 +168,13 @@
     site.dead = True
     site.run(500)
     site.take_over()
-    assert site.cell.speeds.is_uneven is is_told
+    assert site.cell.speeds.is_heterogeneous is is_told
     site.run(1_500)
     first = set(site.load(3_000.0, small=SMALL_GAP_MS))
     if is_told:
         assert site.share_on_fast(first) >= 0.85
     site.load(2 * LEARN_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    assert site.cell.speeds.is_uneven
+    assert site.cell.speeds.is_heterogeneous
     later = set(site.load(8_000.0, small=SMALL_GAP_MS))
     assert site.share_on_fast(later) >= 0.75
 
@@ -182,7 +182,7 @@
 def test_a_cell_takes_its_turns_when_all_workers_are_gone():
     site = UnevenSite(seed=7)
     site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    assert site.cell.speeds.is_uneven
+    assert site.cell.speeds.is_heterogeneous
     site.run(30_000.0)
     site.change_list([])
     for worker in site.workers.values():
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
@@ -9,7 +9,7 @@
 from thymefork_cells.workers.worker_losses import MAX_LOSSES
 
 from .harness import Harness, job_spec
-from .test_trials import THREE_HALLS, crash_by, reachable, set_work_ms
+from .test_crash_isolation import THREE_HALLS, crash_by, reachable, set_work_ms
 
 
 @pytest.mark.parametrize("seed", range(16))
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_unknown_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_unknown_speeds.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from .test_uneven_workers import BATCH_GAP_MS, SMALL_GAP_MS, WatchedSite
+from .test_heterogeneous_workers import BATCH_GAP_MS, SMALL_GAP_MS, WatchedSite
 
 SEARCH_MS = 12_000.0
 LOAD_MS = 8_000.0
