--- a/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
@@ -167,7 +167,7 @@
             is_first = self._context.is_most_urgent(step.job)
             return SpeedScorer(lateness=lateness, is_first=is_first)
         queue_name = step.job.queue_name
-        self._risk.note(queue_name, lateness.for_slowness(1.0))
+        self._risk.update(queue_name, lateness.for_slowness(1.0))
         is_wanted = self._risk.is_high(queue_name)
         return ExplorationScorer(speeds=self._speeds) if is_wanted else None
 
