--- a/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
@@ -259,7 +259,7 @@
 
 def _takes_tasks(worker, now_ms):
     """Tell whether a worker may be given any task now."""
-    if not worker.is_known or not worker.is_listed or worker.entry.draining:
+    if not worker.has_reported or not worker.is_listed or worker.entry.draining:
         return False
     if worker.entry.is_lapsed or worker.is_suspect or worker.entry.cpu_milli <= 0:
         return False
