--- a/packages/thymefork-cells/src/thymefork_cells/placement/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placing: which tasks start next, and on which workers."""
+"""Choose which tasks start next, and on which workers."""
 
 from .crash_isolation import ISOLATE_AFTER_LOSSES, CrashIsolation
 from .gang_workers import workers_for_gang
--- a/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
@@ -1,10 +1,7 @@
-"""Where tasks run under which workers were lost.
+"""Isolate tasks that may have crashed workers.
 
-The first loss says little of a task, so it goes where least else runs. After the second
-it runs apart from other jobs, at the cost of a worker for some seconds. Runs of others
-that were lost beside eight tasks that crash workers, among 16 workers, four seeds on
-virtual time: at a quarter of the load 205, by the tightest fit instead 413; at half of
-it 501, without running apart 761.
+After its first worker loss, a task goes to the worker with the least other work. After
+the second, it runs on a worker without other jobs, so that it can't take them down.
 """
 
 from functools import partial
@@ -15,22 +12,22 @@
 
 __all__ = ["ISOLATE_AFTER_LOSSES", "CrashIsolation"]
 
-# From this many losses on, known or suspected, a task runs apart, one run at a time.
+# From this many worker losses on, known or suspected, a task runs in isolation.
 ISOLATE_AFTER_LOSSES = 2
-# A task that has to run apart waits this long for a worker to become empty, about as
-# long as a short task runs. Then it goes where least runs.
-APART_PATIENCE_MS = 1_000.0
-# After the last loss but one, a task waits this long for word of the worker: a machine
-# is back about when the leases there are over, and then the job is given up.
-WORD_PATIENCE_MS = 1_500.0
+# How long such a task waits for a worker without other jobs. After that it goes to the
+# worker with the least other work.
+ISOLATION_TIMEOUT_MS = 1_000.0
+# Before its last attempt, a task waits this long for news of the lost worker: its
+# restart shows that the worker crashed, and the job fails without another attempt.
+WORKER_RETURN_TIMEOUT_MS = 1_500.0
 
 
 class CrashIsolation:
-    """Choose workers for suspected tasks, and keep others off them."""
+    """Choose workers for crash suspects, and keep other jobs off these workers."""
 
     @staticmethod
     def is_crash_suspect(task, now_ms):
-        """Tell whether a task may have crashed workers, so that it starts with care."""
+        """Return whether a task may have crashed workers."""
         if len(task.losses) >= ISOLATE_AFTER_LOSSES:
             return True
         return task.may_crash_workers or task.suspected_crashes(now_ms) > len(
@@ -39,33 +36,33 @@
 
     @staticmethod
     def can_start(task, now_ms):
-        """Tell whether a suspected task may be started at all."""
+        """Return whether a crash suspect may be started now."""
         if len(task.losses) < MAX_CRASHES or not have_similar_timing(
             task.losses.values()
         ):
             return True
-        return now_ms - task.last_lost_ms > WORD_PATIENCE_MS
+        return now_ms - task.last_lost_ms > WORKER_RETURN_TIMEOUT_MS
 
     @staticmethod
     def workers_for(step, tasks, workers, now_ms):
-        """Return those of the workers that tasks of a step may be tried on.
+        """Return the workers on which crash suspects of a step may run.
 
-        Tasks that have to run apart wait a while for a worker to become empty. None is
-        kept free for them meanwhile: that makes others wait and spares nobody.
+        Tasks that need isolation wait a while for a worker without other jobs. No
+        worker is reserved for them, which would only delay other jobs.
         """
-        if not _has_to_run_apart(tasks, now_ms):
+        if not _need_isolation(tasks, now_ms):
             return workers
         job = step.job
         empty = [worker for worker in workers if not worker.runs_of_others(job)]
         if empty:
             return empty
         since_ms = max([step.ready_ms, *(task.last_lost_ms for task in tasks)])
-        if now_ms - since_ms > APART_PATIENCE_MS:
+        if now_ms - since_ms > ISOLATION_TIMEOUT_MS:
             return workers
         return []
 
     def workers_for_gang(self, step, suspected, workers, now_ms):
-        """Return the workers for a gang with suspected tasks, the best ones first."""
+        """Return the workers for a gang with crash suspects, the best first."""
         if not all(self.can_start(task, now_ms) for task in suspected):
             return []
         usable = self.workers_for(step, suspected, workers, now_ms)
@@ -73,8 +70,8 @@
 
     @staticmethod
     def isolate(task, worker, now_ms):
-        """Keep other jobs off a worker while a task that has to run apart is tried."""
-        if not _has_to_run_apart([task], now_ms):
+        """Keep other jobs off a worker while it runs a task that needs isolation."""
+        if not _need_isolation([task], now_ms):
             return
         until_ms = now_ms + clearing_time_ms(task)
         if worker.trial is not None and worker.trial.job is task.step.job:
@@ -83,7 +80,7 @@
 
     @staticmethod
     def rate(step, worker):
-        """Rate a worker for a suspected task; the lowest is best: least is at risk."""
+        """Return a worker's score for a crash suspect: least work at risk is best."""
         score = _cpu_at_risk(worker, step.job) / max(1, worker.entry.cpu_milli)
         if worker.is_least_preferred:
             score += UNRELIABLE_PENALTY
@@ -93,13 +90,13 @@
         return score
 
 
-def _has_to_run_apart(tasks, now_ms):
-    return any(_has_to_be_alone(task, now_ms) for task in tasks)
+def _need_isolation(tasks, now_ms):
+    return any(_needs_isolation(task, now_ms) for task in tasks)
 
 
-def _has_to_be_alone(task, now_ms):
+def _needs_isolation(task, now_ms):
     if len(task.losses) >= MAX_LOSSES - 1:
-        return True  # the next loss decides, whoever stands beside it
+        return True  # the next loss fails the job, whichever run caused it
     return task.suspected_crashes(
         now_ms
     ) >= ISOLATE_AFTER_LOSSES and have_similar_timing(task.losses.values())
--- a/packages/thymefork-cells/src/thymefork_cells/placement/gang_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/gang_workers.py
@@ -1,4 +1,4 @@
-"""Workers for all tasks of a gang at once."""
+"""Choose workers for all tasks of a gang at once."""
 
 from .worker_ranking import task_capacity
 
@@ -6,10 +6,9 @@
 
 
 def workers_for_gang(step, workers):
-    """Return a worker for each task of a gang, or None if not all find room.
+    """Return a worker for each task of a gang, or None if they do not all fit.
 
-    The workers come in the order in which they are to be used; one rack is preferred
-    where the gang asks for that.
+    Workers are used in the order given. With `same_rack`, a single rack is tried first.
     """
     if step.spec.same_rack:
         for members in _by_rack(workers):
--- a/packages/thymefork-cells/src/thymefork_cells/placement/placement_log.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placement_log.py
@@ -1,16 +1,16 @@
-"""Log lines on steps that start and steps that wait."""
+"""Log which steps start and why others wait."""
 
 from attrs import field, frozen
 
 __all__ = ["PlacementLog"]
 
-# A step that has waited this long is logged with what it lacks, and so on.
-NOTE_WAIT_MS = 2_000.0
+# How often a waiting step is logged.
+WAIT_LOG_INTERVAL_MS = 2_000.0
 
 
 @frozen(kw_only=True)
 class PlacementLog:
-    """Tell which tasks start together, and what a step lacks that waits."""
+    """Log task starts, and what waiting steps lack."""
 
     _context = field()
     _advice = field()
@@ -18,7 +18,7 @@
     _used_shares = field()
 
     def log_starts(self, step, starts, wanted, now_ms):
-        """Log one line for all tasks of a step that start together."""
+        """Log one line for all tasks of a step that start at once."""
         if not starts:
             return
         waited_ms = now_ms - step.ready_ms
@@ -34,12 +34,12 @@
             workers=len({worker.worker_id for _, worker in starts}),
             waited_ms=round(waited_ms),
             account=step.job.account_name,
-            **self._turn(step, len(starts), now_ms),
+            **self._turn_fields(step, len(starts), now_ms),
             configuration=self._context.configuration.version,
         )
 
-    def _turn(self, step, count, now_ms):
-        """Count starts by what gave a step its turn; return that for the log."""
+    def _turn_fields(self, step, count, now_ms):
+        """Count starts by why a step was chosen; return the log fields for it."""
         name = step.job.account_name
         if not self._used_shares.tracks(name):
             return {}
@@ -50,20 +50,20 @@
         return {"turn": turn, "account_uses": self._account_uses(step)}
 
     def _account_uses(self, step):
-        """Return the part of the room that a step's account used lately."""
+        """Return the recent dominant share of a step's account."""
         return round(self._used_shares.used(step.job.account_name), 3)
 
-    def count_speeds(self, fit, starts, workers):
-        """Count starts by whether a step needs fast workers and has got one."""
+    def count_speeds(self, scorer, starts, workers):
+        """Count starts by whether the step needs and gets a fast worker."""
         if not starts:
             return
-        labels = fit.metric_labels(workers)
+        labels = scorer.metric_labels(workers)
         for _, worker in starts:
             self._context.count("placed_by_speed", labels[worker.slowness])
 
     def log_wait(self, step, workers, now_ms):
-        """Log why a step's tasks have not been started for a while."""
-        if now_ms - max(step.ready_ms, step.wait_logged_ms) <= NOTE_WAIT_MS:
+        """Log why the tasks of a step are still waiting."""
+        if now_ms - max(step.ready_ms, step.wait_logged_ms) <= WAIT_LOG_INTERVAL_MS:
             return
         waiting = step.waiting
         if not waiting:
@@ -82,15 +82,15 @@
             beyond_share=step.job.is_beyond_share,
             account_uses=self._account_uses(step),
             account_allows=self._quotas.tasks_allowed(step, now_ms),
-            **_counts_of(step, workers, with_ticket),
+            **_worker_counts(step, workers, with_ticket),
             allowed=-1 if step.allowed is None else len(step.allowed),
             denied=len(step.denied),
             advice_asked=step.advice_asked,
         )
 
 
-def _counts_of(step, workers, with_ticket):
-    """Return how many workers a step may use, by what they lack."""
+def _worker_counts(step, workers, with_ticket):
+    """Return log fields with the number of workers by what they offer."""
     with_room = [
         worker for worker in workers.values() if worker.has_capacity(step.spec)
     ]
--- a/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
@@ -1,4 +1,4 @@
-"""Which waiting tasks start now, and on which workers."""
+"""Start waiting tasks on suitable workers."""
 
 from functools import partial
 
@@ -19,13 +19,13 @@
 
 __all__ = ["Placer"]
 
-# The list of workers that may be given tasks is made anew this often; each is checked
-# once more when it is chosen, so one that comes back waits this long at most.
-LIST_MS = 20.0
+# How often the list of workers that accept tasks is rebuilt. A worker that recovers
+# waits at most this long.
+WORKER_LIST_REFRESH_MS = 20.0
 
 
 class Placer:
-    """Give waiting tasks to workers with room, most urgent queue first."""
+    """Assign waiting tasks to workers, most urgent queue first."""
 
     def __init__(
         self,
@@ -43,28 +43,28 @@
         self._durations = durations
         self._speeds = speeds
         self._quotas = quotas
-        self._trials = crash_isolation
+        self._crash_isolation = crash_isolation
         self._preemptor = preemptor
         self._reservations = reservations
         used_shares = DominantShares(context=context)
         self._order = StepOrder(
             context=context, durations=durations, used_shares=used_shares
         )
-        self._notes = PlacementLog(
+        self._log = PlacementLog(
             context=context, advice=advice, quotas=quotas, used_shares=used_shares
         )
         self._advice = advice
-        self._risk = LatenessRisk()
+        self._lateness_risk = LatenessRisk()
         self._by_service = {}
-        self._list_due_ms = 0.0
+        self._worker_list_due_ms = 0.0
 
     def plan(self, now_ms):
-        """Intend all starts that are possible now."""
+        """Create runs for all tasks that can start now."""
         self._context.needs_plan = False
         if self._context.is_worker_list_stale(now_ms):
             return
-        if now_ms >= self._list_due_ms:
-            self._list_due_ms = now_ms + LIST_MS
+        if now_ms >= self._worker_list_due_ms:
+            self._worker_list_due_ms = now_ms + WORKER_LIST_REFRESH_MS
             self._by_service = self._workers_by_service(now_ms)
         by_service = self._by_service
         steps = self._quotas.plannable_steps(self._order.steps(now_ms), now_ms)
@@ -89,7 +89,7 @@
             workers = workers_of(step)
             if step.ready:
                 self._place(step, workers, now_ms)
-                self._notes.log_wait(step, workers, now_ms)
+                self._log.log_wait(step, workers, now_ms)
             self._advice.queue_request(
                 step,
                 workers,
@@ -102,12 +102,12 @@
     def _workers_by_service(self, now_ms):
         services = {}
         for worker in self._context.workers.values():
-            if _takes_tasks(worker, now_ms):
+            if _accepts_tasks(worker, now_ms):
                 by_id = services.setdefault(worker.entry.service, {})
                 by_id[worker.worker_id] = worker
         return services
 
-    # Placing a step ----------------------------------------------------------
+    # Placing one step ---------------------------------------------------------
 
     def _place(self, step, workers, now_ms):
         waiting = self._order.startable(step, now_ms)
@@ -119,47 +119,47 @@
         waiting = waiting[:allowed]
         if not waiting:
             return
-        permitted = self._permitted(step, workers, now_ms)
-        sound, suspected = [], []
+        permitted = self._permitted_workers(step, workers, now_ms)
+        unsuspected, suspected = [], []
         for task in waiting:
-            is_crash_suspect = self._is_suspected(task, now_ms)
-            (suspected if is_crash_suspect else sound).append(task)
-        starts = self._place_sound(step, sound, workers, permitted, now_ms)
-        missing = len(sound) - len(starts)
+            is_crash_suspect = self._is_crash_suspect(task, now_ms)
+            (suspected if is_crash_suspect else unsuspected).append(task)
+        starts = self._place_unsuspected(step, unsuspected, workers, permitted, now_ms)
+        unplaced = len(unsuspected) - len(starts)
         if suspected:
             starts += self._place_suspected(step, suspected, permitted, now_ms)
-        self._notes.log_starts(step, starts, len(waiting), now_ms)
-        if missing and self._preemptor.make_room(step, permitted, missing, now_ms):
-            self._reservations.review_soon()  # what is freed is kept for the step
+        self._log.log_starts(step, starts, len(waiting), now_ms)
+        if unplaced and self._preemptor.make_room(step, permitted, unplaced, now_ms):
+            self._reservations.review_soon()  # reserve the freed capacity
 
-    def _is_suspected(self, task, now_ms):
+    def _is_crash_suspect(self, task, now_ms):
         if not task.losses and not task.runs:
-            return False  # nearly all tasks, each time
-        return self._trials.is_crash_suspect(task, now_ms)
+            return False  # fast path for most tasks
+        return self._crash_isolation.is_crash_suspect(task, now_ms)
 
-    def _place_sound(self, step, tasks, workers, permitted, now_ms):
-        """Start tasks under which no worker was lost; return each with its worker."""
+    def _place_unsuspected(self, step, tasks, workers, permitted, now_ms):
+        """Start tasks that are no crash suspects; return (task, worker) pairs."""
         spec = step.spec
         usable = [worker for worker in permitted if worker.has_capacity(spec)]
         if not usable:
             return []
-        fit = self._speed_fit(step, now_ms)
-        suitable = usable if fit is None else fit.suitable(usable)
+        scorer = self._speed_scorer(step, now_ms)
+        suitable = usable if scorer is None else scorer.suitable(usable)
         ranking = WorkerRanking(
             spec=spec,
             workers=usable,
             hall=best_hall(spec, suitable, len(tasks)),
             tasks_per_worker=step.runs_per_worker() if spec.most_per_worker else None,
-            rate=partial(fit_score, spec, speed_scorer=fit),
+            rate=partial(fit_score, spec, speed_scorer=scorer),
             has_unasked_workers=self._advice.has_unasked_workers(step, workers),
         )
         starts = self._start(tasks, ranking)
-        if fit is not None:
-            self._notes.count_speeds(fit, starts, usable)
+        if scorer is not None:
+            self._log.count_speeds(scorer, starts, usable)
         return starts
 
-    def _speed_fit(self, step, now_ms):
-        """Return what rates workers by speed; None where speed makes no difference."""
+    def _speed_scorer(self, step, now_ms):
+        """Return the scorer for worker speed, or None if speed does not matter."""
         lateness = self._durations.lateness_probability(step, now_ms)
         if lateness is None:
             return None
@@ -167,31 +167,33 @@
             is_most_urgent = self._context.is_most_urgent(step.job)
             return SpeedScorer(lateness=lateness, is_most_urgent=is_most_urgent)
         queue_name = step.job.queue_name
-        self._risk.update(queue_name, lateness.for_slowness(1.0))
-        is_wanted = self._risk.is_high(queue_name)
-        return ExplorationScorer(speeds=self._speeds) if is_wanted else None
+        self._lateness_risk.update(queue_name, lateness.for_slowness(1.0))
+        should_explore = self._lateness_risk.is_high(queue_name)
+        return ExplorationScorer(speeds=self._speeds) if should_explore else None
 
     def _place_suspected(self, step, tasks, permitted, now_ms):
-        """Try tasks under which workers were lost; return each with its worker."""
-        ready = [task for task in tasks if self._trials.can_start(task, now_ms)]
+        """Start crash suspects with care; return (task, worker) pairs."""
+        ready = [
+            task for task in tasks if self._crash_isolation.can_start(task, now_ms)
+        ]
         if not ready:
             return []
         ranking = WorkerRanking(
             spec=step.spec,
-            workers=self._trials.workers_for(step, ready, permitted, now_ms),
+            workers=self._crash_isolation.workers_for(step, ready, permitted, now_ms),
             hall="",
             tasks_per_worker=step.runs_per_worker()
             if step.spec.most_per_worker
             else None,
-            rate=partial(self._trials.rate, step),
+            rate=partial(self._crash_isolation.rate, step),
         )
         starts = self._start(ready, ranking)
         for task, worker in starts:
-            self._trials.isolate(task, worker, now_ms)
+            self._crash_isolation.isolate(task, worker, now_ms)
         return starts
 
     def _start(self, tasks, ranking):
-        """Intend the tasks on the best workers; return those that found one with it."""
+        """Create runs on the best workers; return (task, worker) pairs."""
         starts = []
         for task in tasks:
             worker = ranking.best_for(task)
@@ -199,45 +201,47 @@
                 break
             if worker is None:
                 continue
-            self._intend(task, worker, task.run_count + 1)
+            self._add_run(task, worker, task.run_count + 1)
             ranking.on_assigned()
             starts.append((task, worker))
         return starts
 
-    def _permitted(self, step, workers, now_ms):
-        """Return the workers that a step has a ticket for and that are not kept."""
+    def _permitted_workers(self, step, workers, now_ms):
+        """Return the workers that a step has tickets for and that are not reserved."""
         return [
             worker
             for worker in self._advice.with_ticket(step, workers, now_ms)
-            if _takes_tasks(worker, now_ms)
+            if _accepts_tasks(worker, now_ms)
             and worker.admits(step.job, now_ms)
             and self._reservations.permits(step, worker, now_ms)
         ]
 
     def _place_gang(self, step, workers, now_ms):
         run_id = max(task.run_count for task in step.tasks) + 1
-        permitted = self._permitted(step, workers, now_ms)
-        suspected = [task for task in step.tasks if self._is_suspected(task, now_ms)]
+        permitted = self._permitted_workers(step, workers, now_ms)
+        suspected = [
+            task for task in step.tasks if self._is_crash_suspect(task, now_ms)
+        ]
         if suspected:
-            permitted = self._trials.workers_for_gang(
+            permitted = self._crash_isolation.workers_for_gang(
                 step, suspected, permitted, now_ms
             )
-        fit = self._speed_fit(step, now_ms)
-        if fit is not None and not suspected:
-            # One that ends with its slowest member takes members of about one speed.
-            permitted = sorted(permitted, key=fit.rate)
+        scorer = self._speed_scorer(step, now_ms)
+        if scorer is not None and not suspected:
+            # A gang is as slow as its slowest member: choose members of similar speed.
+            permitted = sorted(permitted, key=scorer.rate)
         chosen = workers_for_gang(step, permitted)
         if chosen is None:
             return
         starts = list(zip(step.tasks, chosen, strict=True))
         gang_slowness = max(worker.slowness for worker in chosen)
         for task, worker in starts:
-            self._intend(task, worker, run_id, gang_slowness=gang_slowness)
+            self._add_run(task, worker, run_id, gang_slowness=gang_slowness)
             for suspect in suspected:
-                self._trials.isolate(suspect, worker, now_ms)
-        self._notes.log_starts(step, starts, len(starts), now_ms)
+                self._crash_isolation.isolate(suspect, worker, now_ms)
+        self._log.log_starts(step, starts, len(starts), now_ms)
 
-    def _intend(self, task, worker, run_id, *, gang_slowness=0.0):
+    def _add_run(self, task, worker, run_id, *, gang_slowness=0.0):
         run = Run(
             task=task,
             run_id=run_id,
@@ -257,8 +261,8 @@
         self._context.journal.after(StartRun(run=run))
 
 
-def _takes_tasks(worker, now_ms):
-    """Tell whether a worker may be given any task now."""
+def _accepts_tasks(worker, now_ms):
+    """Return whether a worker accepts new tasks now."""
     if not worker.has_reported or not worker.is_listed or worker.entry.draining:
         return False
     if worker.entry.is_lapsed or worker.is_suspect or worker.entry.cpu_milli <= 0:
--- a/packages/thymefork-cells/src/thymefork_cells/placement/preemptor.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/preemptor.py
@@ -1,4 +1,4 @@
-"""Making room for urgent steps by stopping less urgent work that keeps its progress."""
+"""Free capacity for urgent steps by preempting runs that checkpoint their progress."""
 
 from operator import attrgetter
 
@@ -7,25 +7,23 @@
 
 __all__ = ["Preemptor"]
 
-# A step that found no room waits this long before others make way: most room comes
-# back by itself within a fraction of a short task.
-PATIENCE_MS = 80.0
-# At most this many runs make way for one task: what is stopped has to start again. A
-# task that wants all eight accelerators of a worker may find one run on each.
-MOST_VICTIMS = 8
-# Progress is kept up to the last checkpoint or the stop; younger runs are let be.
-YOUNGEST_MS = 600.0
-# Work that is stopped is taken up again once room comes, and restores its progress
-# first. A run makes way only if its job has this much to spare beside the time that
-# the urgent task will take.
-TAKE_UP_MS = 1_500.0
+# A step waits this long before it preempts: capacity is often freed without it.
+PREEMPTION_DELAY_MS = 80.0
+# Limit of preempted runs for one task. A task that needs all eight accelerators of a
+# worker may find a run on each.
+MAX_VICTIMS = 8
+# Younger runs are not preempted: they may not have saved a checkpoint yet.
+MIN_RUN_AGE_MS = 600.0
+# Time that a preempted run needs to start again and restore its progress. Its job must
+# have this much slack beyond the duration of the urgent task.
+RESUME_MS = 1_500.0
 
 
 class Preemptor:
     """Choose runs of less urgent queues to stop for a waiting step.
 
-    A task that needs a large part of certain workers would otherwise wait until all
-    the small tasks there happen to end: others take each piece as it comes free.
+    Without preemption, small tasks take each piece of freed capacity, and a task that
+    needs much of a worker waits indefinitely.
     """
 
     def __init__(self, *, context, lifecycle, durations):
@@ -34,24 +32,26 @@
         self._durations = durations
 
     def make_room(self, step, workers, wanted, now_ms):
-        """Stop runs so that tasks of a step find room soon; tell whether any was."""
-        if now_ms < max(step.ready_ms + PATIENCE_MS, step.preempt_not_before_ms):
+        """Stop runs to make tasks of a step fit soon; return whether any was stopped."""
+        if now_ms < max(
+            step.ready_ms + PREEMPTION_DELAY_MS, step.preempt_not_before_ms
+        ):
             return False
-        room_ms = now_ms + self._context.bounds.stop_timeout_ms / 2
+        free_at_ms = now_ms + self._context.bounds.stop_timeout_ms / 2
         fastest = min(workers, key=attrgetter("slowness"), default=None)
-        if not self._durations.ends_in_time(step, room_ms, fastest):
+        if not self._durations.ends_in_time(step, free_at_ms, fastest):
             return False
         step.preempt_not_before_ms = now_ms + self._context.bounds.stop_timeout_ms
         plans = []
         for worker in workers:
-            room = _room_to_come(worker)
-            if room.fits(step.spec):
-                # What was stopped before makes room here.
-                wanted -= _tasks_that_fit(step, worker, room)
+            free = _capacity_after_stops(worker)
+            if free.fits(step.spec):
+                # Runs that are already being stopped free enough capacity.
+                wanted -= _additional_tasks(step, worker, free)
                 continue
-            if not self._durations.ends_in_time(step, room_ms, worker):
+            if not self._durations.ends_in_time(step, free_at_ms, worker):
                 continue
-            victims = self._victims(step, worker, room, now_ms)
+            victims = self._victims(step, worker, free, now_ms)
             if victims:
                 plans.append(victims)
         plans.sort(key=_cost)
@@ -60,21 +60,21 @@
             self._stop(run, step, now_ms)
         return bool(chosen)
 
-    def _victims(self, step, worker, room, now_ms):
-        """Return the fewest runs whose end makes room for one task; none if none do."""
+    def _victims(self, step, worker, free, now_ms):
+        """Return the runs to stop so that one task fits; empty if not possible."""
         chosen = []
         for run in self._candidates(step, worker, now_ms):
-            if room.fits(step.spec):
+            if free.fits(step.spec):
                 break
-            if len(chosen) == MOST_VICTIMS:
+            if len(chosen) == MAX_VICTIMS:
                 return []
-            if room.gains_from(run.step, step.spec):
+            if free.gains_from(run.step, step.spec):
                 chosen.append(run)
-                room.release(run.step)
-        return chosen if room.fits(step.spec) else []
+                free.release(run.step)
+        return chosen if free.fits(step.spec) else []
 
     def _candidates(self, step, worker, now_ms):
-        """Return the runs that may make way, the largest first."""
+        """Return the runs that may be preempted, the largest first."""
         priority = self._priority(step)
         needs_ms = self._durations.expected_ms(step.spec, worker)
         runs = [
@@ -84,19 +84,19 @@
             and run.step.checkpoints
             and not run.step.gang
             and not run.step.long_running
-            and now_ms - run.began_ms > YOUNGEST_MS
+            and now_ms - run.began_ms > MIN_RUN_AGE_MS
             and self._priority(run.task.step) > priority
-            and self._can_wait(run, needs_ms, now_ms)
+            and self._can_be_preempted(run, needs_ms, now_ms)
         ]
         return sorted(runs, key=lambda run: -run.step.reserved_cpu_milli)
 
-    def _can_wait(self, run, needs_ms, now_ms):
-        """Tell whether a run's job still meets its objective, or can't any more."""
+    def _can_be_preempted(self, run, needs_ms, now_ms):
+        """Return whether preemption does not make a run's job miss its objective."""
         left_ms = self._durations.left_ms(run, now_ms)
         if left_ms < self._context.bounds.stop_timeout_ms:
-            return False  # its room comes back by itself as soon
+            return False  # it ends as soon without being stopped
         spare_ms = run.task.step.job.objective_ms - now_ms - left_ms
-        return spare_ms < 0 or spare_ms > needs_ms + TAKE_UP_MS
+        return spare_ms < 0 or spare_ms > needs_ms + RESUME_MS
 
     def _priority(self, step):
         queue = self._context.queue(step.job)
@@ -115,18 +115,18 @@
         self._lifecycle.stop(run, f"{step.name} is more urgent", now_ms=now_ms)
 
 
-def _room_to_come(worker):
-    """Return what is free on a worker once the runs that are being stopped are gone."""
-    room = FreeCapacity.of(worker)
+def _capacity_after_stops(worker):
+    """Return the free capacity of a worker once all pending stops are done."""
+    free = FreeCapacity.of(worker)
     for run in worker.runs.values():
         if run.state is RunState.STOPPING:
-            room.release(run.step)
-    return room
+            free.release(run.step)
+    return free
 
 
-def _tasks_that_fit(step, worker, room):
-    """Return how many more tasks of a step a worker may hold in some room."""
-    count = len(room.allocate_all(step.spec, 0.0))
+def _additional_tasks(step, worker, free):
+    """Return how many more tasks of a step a worker may run in the free capacity."""
+    count = len(free.allocate_all(step.spec, 0.0))
     most = step.spec.most_per_worker
     if not most:
         return count
--- a/packages/thymefork-cells/src/thymefork_cells/placement/reservations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/reservations.py
@@ -1,103 +1,105 @@
-"""Room that is kept for steps whose tasks need much of a worker at once."""
+"""Reserve workers for gangs and for tasks that need much of a worker."""
 
 from attrs import define
 
 __all__ = ["Reservations"]
 
-# A gang that found no room for all its tasks at once waits this long before workers
-# are kept for it: most find room by themselves as short tasks end (0.8 s each).
-GANG_PATIENCE_MS = 2_000.0
-# A single task that needs a large part of a worker waits this long: small tasks take
-# each piece of that part as it comes free, so waiting alone brings nothing.
-LARGE_PATIENCE_MS = 100.0
-# A task counts as large if it takes this share of a worker's processors, memory or
-# accelerators. Two of them fill a worker; smaller ones find room as others end.
+# A gang waits this long before workers are reserved for it: most fit as short tasks
+# end.
+GANG_RESERVATION_DELAY_MS = 2_000.0
+# A large task waits this long. Small tasks take each piece of freed capacity, so it
+# rarely fits without a reservation.
+LARGE_RESERVATION_DELAY_MS = 100.0
+# A task is large if it takes this share of a worker's cpu, memory or accelerators.
 LARGE_SHARE = 0.4
-# The choice of workers is reviewed this often: each is a pass over all workers.
+# Interval of reviews; each is a pass over all workers.
 REVIEW_MS = 100.0
-# A run's expected end is only an estimate; a task that is let in before the room is
-# there has to end this much earlier.
+# A backfilled task must be expected to end this long before the reservation starts,
+# since expected ends are estimates.
 BACKFILL_MARGIN_MS = 200.0
-# A step that has not started this long after its room should have been there lacks
-# something else, such as tickets: a call for them takes about 1 s. Its workers are
-# given back, and kept for it again only after the pause.
+# A reservation whose step has not started this long after the expected time is
+# released: the step lacks something else, such as tickets. The step gets no new one
+# during the pause.
 OVERDUE_MS = 1_500.0
 PAUSE_MS = 3_000.0
 
 
 @define(kw_only=True, eq=False)
 class _Reservation:
-    """Hold what is kept for a step.
+    """Hold the workers that are reserved for a step.
 
-    `free_at_ms` maps the ids of its workers to when they have room for it, `waiting`
-    is how many of its tasks wait, and `promised_ms` when the next should have started.
+    `free_at_ms` maps worker ids to the time at which a task is expected to fit,
+    `waiting` is the number of waiting tasks, and `expected_start_ms` the time at which
+    the next one should start.
     """
 
     step: object
     free_at_ms: dict
     waiting: int
-    promised_ms: float
+    expected_start_ms: float
 
 
 class Reservations:
-    """Keep workers from less urgent steps until the waiting step fits on them.
+    """Reserve workers for waiting steps against less urgent ones.
 
-    Tasks that are expected to end before the room is needed are let in. Without it,
-    small tasks take every piece of room as it comes, and a gang or a task as large as
-    a worker may wait without end while most of the room is free.
+    Tasks that are expected to end before the reserved capacity is needed are
+    backfilled. Without reservations, small tasks take every piece of freed capacity,
+    and a gang or a large task may wait indefinitely.
     """
 
     def __init__(self, *, context, durations, forecast):
         self._context = context
         self._durations = durations
         self._forecast = forecast
-        self._kept = {}
+        self._reservations = {}
         self._by_worker = {}
         self._rank = {}
         self._paused_until_ms = {}
         self._review_due_ms = 0.0
 
     def review(self, steps, workers_of, now_ms):
-        """Choose steps and workers; `steps` come in order, the most urgent first."""
+        """Update the reservations; `steps` are sorted, the most urgent first."""
         self._rank = {step: rank for rank, step in enumerate(steps)}
-        self._give_up_overdue(now_ms)
-        if now_ms < self._review_due_ms and not self._has_served():
+        self._release_overdue(now_ms)
+        if now_ms < self._review_due_ms and not self._has_settled_step():
             return
         self._review_due_ms = now_ms + REVIEW_MS
-        was, self._kept, self._by_worker = self._kept, {}, {}
+        previous, self._reservations, self._by_worker = self._reservations, {}, {}
         for step in steps:
             if self._waits_for_room(step, now_ms):
-                self._keep(step, workers_of(step), was.get(step), now_ms)
+                self._reserve(step, workers_of(step), previous.get(step), now_ms)
 
     def permits(self, step, worker, now_ms):
-        """Tell whether a step may use a worker."""
-        kept = self._by_worker.get(worker.worker_id)
-        if kept is None or kept.step is step:
+        """Return whether a step may use a worker."""
+        reservation = self._by_worker.get(worker.worker_id)
+        if reservation is None or reservation.step is step:
             return True
-        if self._rank.get(step, 0) < self._rank.get(kept.step, 0):
+        if self._rank.get(step, 0) < self._rank.get(reservation.step, 0):
             return True
         if step.spec.long_running:
             return False
         expected_ms = self._durations.expected_ms(step.spec, worker)
         ends_ms = now_ms + expected_ms + BACKFILL_MARGIN_MS
-        return ends_ms < kept.free_at_ms[worker.worker_id]
+        return ends_ms < reservation.free_at_ms[worker.worker_id]
 
     def review_soon(self):
-        """Choose anew with the next plan, since runs are being stopped."""
+        """Review the reservations with the next plan, since runs are being stopped."""
         self._review_due_ms = 0.0
 
-    def _has_served(self):
-        """Tell whether a step that workers were kept for has started or ended."""
-        return any(not step.job.is_live or not step.waiting for step in self._kept)
+    def _has_settled_step(self):
+        """Return whether a step with a reservation has started or ended."""
+        return any(
+            not step.job.is_live or not step.waiting for step in self._reservations
+        )
 
-    def _give_up_overdue(self, now_ms):
-        """Give the workers back where room was not what a step lacked."""
-        for step, kept in list(self._kept.items()):
-            if now_ms < kept.promised_ms + OVERDUE_MS:
+    def _release_overdue(self, now_ms):
+        """Release reservations of steps that did not start in time."""
+        for step, reservation in list(self._reservations.items()):
+            if now_ms < reservation.expected_start_ms + OVERDUE_MS:
                 continue
             self._context.count("reservations", "given_up")
             self._context.note("reservation_ends", step=step.name)
-            del self._kept[step]
+            del self._reservations[step]
             self._paused_until_ms[step.name] = now_ms + PAUSE_MS
             self._review_due_ms = now_ms
         self._paused_until_ms = {
@@ -106,7 +108,7 @@
             if until_ms > now_ms
         }
 
-    # Choosing ----------------------------------------------------------------
+    # Choosing workers --------------------------------------------------------------
 
     def _waits_for_room(self, step, now_ms):
         if not step.ready or not step.waiting:
@@ -115,39 +117,39 @@
             return False
         waited_ms = now_ms - step.ready_ms
         if step.spec.gang:
-            return waited_ms > GANG_PATIENCE_MS and _all_wait(step)
-        if step.spec.long_running or waited_ms <= LARGE_PATIENCE_MS:
+            return waited_ms > GANG_RESERVATION_DELAY_MS and _are_all_waiting(step)
+        if step.spec.long_running or waited_ms <= LARGE_RESERVATION_DELAY_MS:
             return False
-        # Room kept idle for jobs that are late only makes others late.
+        # Reserving for a job that is late anyway only delays other jobs.
         return self._durations.ends_in_time(step, now_ms)
 
-    def _keep(self, step, workers, was, now_ms):
-        """Keep the workers on which the step's tasks would fit soonest."""
-        times = self._soonest(step, workers, now_ms)
+    def _reserve(self, step, workers, previous, now_ms):
+        """Reserve the workers on which the step's tasks would fit soonest."""
+        times = self._earliest_workers(step, workers, now_ms)
         if not times:
             return
         next_ms = min(times.values())
-        is_under_way = was is not None and was.waiting == len(step.waiting)
-        kept = _Reservation(
+        is_under_way = previous is not None and previous.waiting == len(step.waiting)
+        reservation = _Reservation(
             step=step,
             free_at_ms=times,
             waiting=len(step.waiting),
-            promised_ms=was.promised_ms if is_under_way else next_ms,
+            expected_start_ms=previous.expected_start_ms if is_under_way else next_ms,
         )
-        self._kept[step] = kept
-        self._by_worker |= dict.fromkeys(times, kept)
-        if was is None:
-            self._note(kept, next_ms, now_ms)
+        self._reservations[step] = reservation
+        self._by_worker |= dict.fromkeys(times, reservation)
+        if previous is None:
+            self._log(reservation, next_ms, now_ms)
 
-    def _soonest(self, step, workers, now_ms):
-        """Return when each of the workers is free on which tasks would end first.
+    def _earliest_workers(self, step, workers, now_ms):
+        """Return the workers on which tasks would end first, with when they fit.
 
-        Of a gang's, when all are.
+        For a gang, the time at which all of its tasks fit.
         """
         free_at = []
         usual_ms = self._durations.expected_ms(step.spec)
         for worker in workers:
-            if self._may_be_kept(step, worker):
+            if self._is_reservable(step, worker):
                 longer_ms = usual_ms * (worker.slowness - 1.0)
                 times = self._forecast.fit_times(worker, step.spec, now_ms)
                 free_at += [
@@ -161,34 +163,34 @@
         last_ms = max(at_ms for at_ms, _ in chosen)
         return {worker_id: last_ms for _, worker_id in chosen}
 
-    def _may_be_kept(self, step, worker):
+    def _is_reservable(self, step, worker):
         if worker.worker_id in self._by_worker:
             return False
         if step.allowed is not None and worker.worker_id not in step.allowed:
             return False
         if worker.health.on_probation:
-            return False  # it gets single tasks until one succeeds
+            return False  # it only gets single tasks
         return step.spec.gang or _is_large(step.spec, worker.entry)
 
-    def _note(self, kept, next_ms, now_ms):
-        step = kept.step
+    def _log(self, reservation, next_ms, now_ms):
+        step = reservation.step
         self._context.count("reservations", "gang" if step.spec.gang else "large_task")
         self._context.note(
             "room_reserved",
             step=step.name,
             tasks=step.spec.count,
-            workers=len(kept.free_at_ms),
+            workers=len(reservation.free_at_ms),
             waited_ms=round(now_ms - step.ready_ms),
             expected_in_ms=round(next_ms - now_ms),
         )
 
 
-def _all_wait(step):
+def _are_all_waiting(step):
     return len(step.waiting) == len(step.tasks)
 
 
 def _is_large(spec, entry):
-    """Tell whether a task takes much of a worker in any respect."""
+    """Return whether a task takes a large share of any resource of a worker."""
     return (
         spec.reserved_cpu_milli >= LARGE_SHARE * max(1, entry.cpu_milli)
         or spec.memory_mb >= LARGE_SHARE * max(1, entry.memory_mb)
--- a/packages/thymefork-cells/src/thymefork_cells/placement/starvation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/starvation.py
@@ -1,19 +1,18 @@
-"""Steps that run nothing since others take the few workers that they may use."""
+"""Detect steps that are starved on the few workers that their policy allows."""
 
 __all__ = ["starved_ms"]
 
-# A step whose policy allows at most so many workers has nowhere else to go. After so
-# long a wait it takes its turn there: half of what callers would take for a standstill.
+# A step with at most this many allowed workers can hardly run elsewhere. It counts as
+# starved after this wait.
 FEW_WORKERS = 2
 STARVED_MS = 1_500.0
 
 
 def starved_ms(step, now_ms):
-    """Return how long a step has run nothing for want of its few workers, 0 for most.
+    """Return how long a step has been starved on its few workers, 0 if it is not.
 
-    A starved step goes before steps of its priority that are due sooner: those mostly
-    have other workers to go to, or wait once. Without that, they would take each piece
-    of room on its few workers for as long as they come, with room free elsewhere.
+    A starved step precedes steps of its priority that are due sooner. Otherwise these
+    would always take its few workers, although they may run on others.
     """
     if step.allowed is None or len(step.allowed) > FEW_WORKERS or not step.ready:
         return 0.0
--- a/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
@@ -1,4 +1,4 @@
-"""Which step's tasks are started first."""
+"""Order the steps whose tasks wait to start."""
 
 from operator import itemgetter
 
@@ -13,10 +13,10 @@
 class StepOrder:
     """Order the steps that have tasks to start.
 
-    What is within its account's share goes before what is beyond, then the more urgent
-    queue, then a starved step, then the job that is due first. What is beyond goes by
-    what the accounts use: the one that uses the least for its weight goes first. Before
-    all goes the first step of an account that stands still.
+    Steps within their account's job rate share come first, ordered by queue priority,
+    then starvation, then objective. Steps beyond it follow in order of the accounts'
+    weighted usage, the least first. The first step of each starved account precedes
+    all others.
     """
 
     _context = field()
@@ -24,7 +24,7 @@
     _used_shares = field()
 
     def steps(self, now_ms):
-        """Return the steps whose turn has come or is still to come, the first first."""
+        """Return the steps with tasks to start, the most urgent first."""
         jobs = self._context.live_jobs.values()
         self._used_shares.review(jobs, now_ms)
         ranked = []
@@ -35,7 +35,7 @@
             for step in job.steps:
                 if step.is_done or not self.startable(step, now_ms):
                     continue
-                self._note_turn(step, now_ms)
+                self._mark_ready(step, now_ms)
                 urgency = (-starved_ms(step, now_ms), job.objective_ms, step.index)
                 rank = (job.is_beyond_share, queue.priority, *urgency)
                 ranked.append((rank, step))
@@ -43,11 +43,11 @@
         return self._by_use([step for _, step in ranked], now_ms)
 
     def _by_use(self, steps, now_ms):
-        """Return the steps with what is beyond the shares by what accounts use."""
+        """Order the steps beyond their job rate shares by the accounts' usage."""
         if not self._used_shares.tracks_any:
             return steps
-        wanting = {step.job.account_name for step in steps if step.ready}
-        self._used_shares.record_waiting(wanting, now_ms)
+        waiting_accounts = {step.job.account_name for step in steps if step.ready}
+        self._used_shares.record_waiting(waiting_accounts, now_ms)
         within = [step for step in steps if not step.job.is_beyond_share]
         beyond = steps[len(within) :]
         if beyond:
@@ -55,31 +55,31 @@
         return self._standing_first(within + beyond, now_ms)
 
     def is_starved(self, step, now_ms):
-        """Tell whether a step's account has wanted room for long and held none."""
+        """Return whether a step's account is starved."""
         return self._used_shares.is_starved(step.job.account_name, now_ms)
 
     def _standing_first(self, steps, now_ms):
-        """Put the first step of each account that stands still before all others."""
-        standing = {}
+        """Put the first step of each starved account before all others."""
+        starved = {}
         for step in steps:
             name = step.job.account_name
-            if step.ready and name not in standing:
+            if step.ready and name not in starved:
                 if self.is_starved(step, now_ms):
-                    standing[name] = step
-        if not standing:
+                    starved[name] = step
+        if not starved:
             return steps
-        first = list(standing.values())
+        first = list(starved.values())
         return first + [step for step in steps if step not in first]
 
-    def _note_turn(self, step, now_ms):
-        """Note from when on a step's tasks may be started."""
+    def _mark_ready(self, step, now_ms):
+        """Mark a step as ready once its tasks may start."""
         if not step.ready:
             early_ms = self._context.bounds.early_ms / 2
             step.ready = step.job.is_step_due(step, now_ms, early_ms)
             step.ready_ms = now_ms
 
     def startable(self, step, now_ms):
-        """Return the tasks that have to be started, or started once more."""
+        """Return the tasks that need a run or a speculative copy."""
         if not step.spec.speculative:
             return step.waiting
         return [
@@ -90,7 +90,7 @@
         ]
 
     def _is_behind(self, run, now_ms):
-        """Tell whether a copy of a run would end sooner than the run itself."""
+        """Return whether a copy of a run is likely to end before the run itself."""
         if run.worker.is_silent(now_ms):
             return True
         return self._durations.late_ms(run, now_ms) > 0
