--- a/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
@@ -6,7 +6,7 @@
 
 from functools import partial
 
-from ..state import Trial, have_similar_timing
+from ..state import Isolation, have_similar_timing
 from ..workers.worker_losses import MAX_CRASHES, MAX_LOSSES, clearing_time_ms
 from .worker_ranking import REMOTE_PENALTY, UNRELIABLE_PENALTY
 
@@ -74,9 +74,9 @@
         if not _need_isolation([task], now_ms):
             return
         until_ms = now_ms + clearing_time_ms(task)
-        if worker.trial is not None and worker.trial.job is task.step.job:
-            until_ms = max(until_ms, worker.trial.until_ms)
-        worker.trial = Trial(job=task.step.job, until_ms=until_ms)
+        if worker.isolation is not None and worker.isolation.job is task.step.job:
+            until_ms = max(until_ms, worker.isolation.until_ms)
+        worker.isolation = Isolation(job=task.step.job, until_ms=until_ms)
 
     @staticmethod
     def rate(step, worker):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -10,7 +10,7 @@
 from thymefork_cells.state.advice_slots import AdviceSlots
 from thymefork_cells.workers.worker_poller import LEASE_MS
 
-from .command_transport import ORDER_MS, CommandTransport
+from .command_transport import COMMAND_LATENCY_MS, CommandTransport
 from .idle_cell_owners import PARTS, IdleCellOwners
 from .machine_faults import MachineFaults
 from .virtual_gangs import VirtualGangs
@@ -39,7 +39,7 @@
     time, None for as many as needed. An order to a worker whose address is not known
     goes nowhere, as in the daemon.
     `crashes_after_ms` tells of a task how long after its start it crashes its worker,
-    None if it does not; the machine is back after `back_after_ms`, as another worker
+    None if it does not; the machine is back after `return_delay_ms`, as another worker
     or, where it `keeps_worker_ids`, as the same, listed `entry_delay_ms` later; `crashes`
     lists what happened. `owners` carries messages on parts of limits to the owners of
     other cells, which are idle where nothing is said. `violations` lists the starts that
@@ -86,12 +86,12 @@
         self.omits_worker_clock = lambda effect: False
         self.command_delay_ms = lambda effect: 0.0
         self.refusal_for = lambda effect: None
-        self.command_latency_ms = lambda effect: ORDER_MS
+        self.command_latency_ms = lambda effect: COMMAND_LATENCY_MS
         self.answer_latency_ms = lambda effect: 0.0
         self.append_latency_ms = lambda: APPEND_MS
         self.cycle_interval_ms = lambda: TURN_MS
         self.crashes_after_ms = lambda task: None
-        self.back_after_ms = 2_800.0
+        self.return_delay_ms = 2_800.0
         self.keeps_worker_ids = False
         self.entry_delay_ms = 0.0
         self.crashes = []
@@ -305,7 +305,7 @@
         elif isinstance(effect, fx.PaceRun):
             self.env.process(self.transport.pace(cell, effect))
         elif isinstance(effect, fx.PollWorker):
-            self.env.process(self.transport.look(cell, effect))
+            self.env.process(self.transport.poll(cell, effect))
         elif isinstance(effect, PARTS):
             self.owners.send(effect)
         elif isinstance(effect, fx.RequestAdvice):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
@@ -15,7 +15,7 @@
     standby as standby_module,
 )
 from thymefork_daemon.capacity import Tier
-from thymefork_daemon.standby import BETTER_RETURN_MS, JOIN_JITTER_MS, NEXT_TIER_MS
+from thymefork_daemon.standby import BETTER_TIER_RETURN_MS, JOIN_JITTER_MS, NEXT_TIER_MS
 from thymefork_net.peers import Heartbeat
 
 from .simulated_group import STEP_MS, SimulatedGroup
@@ -68,7 +68,7 @@
 
 def test_the_next_tier_stands_in_within_the_standby_s_time(group):
     group.lose(group.of(Tier.FULL))
-    group.run(int(BETTER_RETURN_MS) - 100)
+    group.run(int(BETTER_TIER_RETURN_MS) - 100)
     assert not group.members
     group.run(int(JOIN_JITTER_MS) + 300)
     assert group.owner.tier is Tier.PARTIAL
@@ -78,7 +78,7 @@
 
 def test_the_least_stand_in_where_nobody_else_is_left(group):
     group.lose(group.of(Tier.FULL) + group.of(Tier.PARTIAL))
-    group.run(int(BETTER_RETURN_MS + NEXT_TIER_MS + JOIN_JITTER_MS) + 300)
+    group.run(int(BETTER_TIER_RETURN_MS + NEXT_TIER_MS + JOIN_JITTER_MS) + 300)
     assert group.owner.tier is Tier.LEAST
 
 
@@ -141,7 +141,7 @@
     group.lose(full)
     group.run(8_000)
     stand_in = group.owner
-    stand_in.owners[0].has_unstored = True
+    stand_in.owners[0].has_unstored_records = True
     group.bring_back(full)
     run_until_it_leaves(group, stand_in)
     group.run(100)
@@ -251,7 +251,7 @@
     group.lose(full)
     group.run(8_000)
     stand_in = group.owner
-    stand_in.owners[0].has_unstored = True
+    stand_in.owners[0].has_unstored_records = True
     group.bring_back(full)
     run_until_it_leaves(group, stand_in)
     group.lose(full)
@@ -266,7 +266,7 @@
 def test_a_handover_for_overload_is_given_up_when_the_owner_can_follow(group):
     group.run(5_000)
     first = group.owner
-    first.owners[0].has_unstored = True
+    first.owners[0].has_unstored_records = True
     overload(first)
     run_until_it_leaves(group, first)
     relieve(first)
