--- a/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
@@ -21,12 +21,12 @@
 
     _context = field()
     _durations = field()
-    _used_shares = field()
+    _dominant_shares = field()
 
     def steps(self, now_ms):
         """Return the steps with tasks to start, the most urgent first."""
         jobs = self._context.live_jobs.values()
-        self._used_shares.review(jobs, now_ms)
+        self._dominant_shares.review(jobs, now_ms)
         ranked = []
         for job in jobs:
             queue = self._context.queue(job)
@@ -44,21 +44,21 @@
 
     def _by_use(self, steps, now_ms):
         """Order the steps beyond their job rate shares by the accounts' usage."""
-        if not self._used_shares.tracks_any:
+        if not self._dominant_shares.tracks_any:
             return steps
         waiting_accounts = {step.job.account_name for step in steps if step.ready}
-        self._used_shares.record_waiting(waiting_accounts, now_ms)
+        self._dominant_shares.record_waiting(waiting_accounts, now_ms)
         within = [step for step in steps if not step.job.is_beyond_share]
         beyond = steps[len(within) :]
         if beyond:
-            beyond = self._used_shares.fair_order(beyond)
-        return self._standing_first(within + beyond, now_ms)
+            beyond = self._dominant_shares.fair_order(beyond)
+        return self._starved_first(within + beyond, now_ms)
 
     def is_starved(self, step, now_ms):
         """Return whether a step's account is starved."""
-        return self._used_shares.is_starved(step.job.account_name, now_ms)
+        return self._dominant_shares.is_starved(step.job.account_name, now_ms)
 
-    def _standing_first(self, steps, now_ms):
+    def _starved_first(self, steps, now_ms):
         """Put the first step of each starved account before all others."""
         starved = {}
         for step in steps:
