--- a/packages/thymefork-cells/src/thymefork_cells/advice/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/__init__.py
@@ -1,4 +1,4 @@
-"""Advice: which workers a policy is asked about."""
+"""Request tickets for workers from the advice service."""
 
 from .requester import AdviceRequester
 from .worker_selection import ApprovalRates, choose_workers, has_enough_tickets
--- a/packages/thymefork-cells/src/thymefork_cells/advice/worker_selection.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/worker_selection.py
@@ -1,4 +1,4 @@
-"""Which workers, and how many, the advice service is asked about for a step."""
+"""Select the workers that the advice service is asked about for a step."""
 
 from collections import Counter, defaultdict
 
@@ -8,105 +8,110 @@
 
 __all__ = ["ApprovalRates", "choose_workers", "has_enough_tickets"]
 
-# Until a queue's policy was seen at work, it is taken to allow half of the workers.
-FIRST_SHARE = 0.5
-# Each answer counts this much: a policy's share is known after about ten of them.
-WEIGHT_OF_NEWEST = 0.1
-# A policy that has allowed nothing yet is taken to allow one worker in thirty: its next
-# call then names as many workers as one may.
-LEAST_SHARE = 0.03
-# A call covers this many times the room that is wanted, by the share learned: policies
-# differ from step to step, room is taken meanwhile, and a task that fails is started
-# elsewhere under the same tickets.
+# Approval rate that is assumed before the first answer.
+INITIAL_RATE = 0.5
+# Weight of the newest answer in the moving average.
+SMOOTHING_FACTOR = 0.1
+# Lower bound, at which the next call names as many workers as one may.
+MIN_RATE = 0.03
+# A call asks for this many times the wanted capacity: approval differs between steps,
+# capacity is taken meanwhile, and retries use the same tickets.
 MARGIN = 2.0
-# By the service's own figures a call costs as much as about seventy workers, so asking
-# about fewer than these saves little.
-FEWEST_WORKERS = 8
-# A step whose tasks have waited this long asks about twice as many, and so on: the time
-# of a call about a few workers in the slowest queues. What a few tickets can't be used
-# for is not known in full, and a task must not wait beside idle workers.
+# Fewer workers save little, since most of a call's cost is fixed.
+MIN_WORKERS = 8
+# The number of workers doubles each time a step's tasks have waited this much longer,
+# since a ticket may be unusable for reasons not known here.
 WIDER_AFTER_MS = 500.0
 
 
 class ApprovalRates:
-    """Learn what share of the workers asked about each queue's policy allows."""
+    """Learn the approval rate of each queue's policy."""
 
     def __init__(self):
-        self._shares = {}
+        self._rates = {}
 
     def rate_of(self, queue_name):
-        """Return the share that a queue's policy usually allows, above 0 up to 1."""
-        return max(LEAST_SHARE, self._shares.get(queue_name, FIRST_SHARE))
+        """Return a queue's approval rate, between `MIN_RATE` and 1."""
+        return max(MIN_RATE, self._rates.get(queue_name, INITIAL_RATE))
 
     def learn(self, queue_name, allowed, asked):
-        """Note an answer."""
+        """Add an answer to the moving average."""
         if not asked:
             return
-        known = self._shares.get(queue_name, FIRST_SHARE)
-        self._shares[queue_name] = known + WEIGHT_OF_NEWEST * (allowed / asked - known)
+        known = self._rates.get(queue_name, INITIAL_RATE)
+        self._rates[queue_name] = known + SMOOTHING_FACTOR * (allowed / asked - known)
 
 
 def has_enough_tickets(held, wanted):
-    """Tell whether a step holds tickets for workers enough to wait there for room.
+    """Return whether a step has enough tickets to wait for capacity on their workers.
 
-    Less urgent work makes way for a step only where it has tickets.
+    Preemption for a step happens only on workers for which it has tickets.
     """
     return len(held) >= MARGIN * wanted
 
 
 def choose_workers(
-    step, with_room, others, wanted, *, approval_rate, waited_ms, most, lateness=None
+    step,
+    with_capacity,
+    others,
+    wanted,
+    *,
+    approval_rate,
+    waited_ms,
+    most,
+    lateness=None,
 ):
-    """Return workers with room for the wanted tasks by the share that is allowed.
-
-    The service takes longer for each worker that it is asked about. Those with room
-    come first, from the hall with the most of it, and within a hall in an order that
-    differs from step to step, so that steps which ask at the same time spread over all
-    workers. After an answer that allowed none, and as the step waits, a call asks about
-    twice as many as the one before. Where workers are uneven, `lateness` tells how likely
-    a task is late on each: those that suit come first, of them the slowest.
+    """Return enough workers for the wanted tasks at the expected approval rate.
+
+    Each worker makes the call take longer. Workers with capacity come first, from the
+    hall with the most of it, and in an order that differs between steps, so that
+    concurrent calls spread over all workers. The number doubles with each denial and
+    as the step waits. Where workers are heterogeneous, `lateness` is the step's
+    `LatenessProbability`: suitable workers come first, the slower ones before others.
     """
-    wider = 2 ** max(step.denials_in_row, int(waited_ms / WIDER_AFTER_MS))
-    target = MARGIN * wider * wanted / approval_rate
-    fewest = FEWEST_WORKERS * wider
+    widening_factor = 2 ** max(step.denials_in_row, int(waited_ms / WIDER_AFTER_MS))
+    target = MARGIN * widening_factor * wanted / approval_rate
+    min_workers = MIN_WORKERS * widening_factor
     chosen, covered = [], 0
-    for worker in _ranked(step, with_room, others, lateness):
-        if len(chosen) == most or (covered >= target and len(chosen) >= fewest):
+    for worker in _ranked(step, with_capacity, others, lateness):
+        if len(chosen) == most or (covered >= target and len(chosen) >= min_workers):
             break
         chosen.append(worker)
         covered += max(1, task_capacity(worker, step.spec))
     return chosen
 
 
-def _ranked(step, with_room, others, lateness):
-    """Yield the workers that a step may ask about, the best ones first."""
+def _ranked(step, with_capacity, others, lateness):
+    """Yield the workers that a step may ask about, the best first."""
     if lateness is None:
-        yield from _by_hall(step, with_room)
+        yield from _by_hall(step, with_capacity)
     else:
-        sound = [worker for worker in with_room if not worker.is_far_slower]
-        suitable = lateness.suitable(sound)
-        rest = set(with_room).difference(suitable)
+        healthy = [worker for worker in with_capacity if not worker.is_far_slower]
+        suitable = lateness.suitable(healthy)
+        rest = set(with_capacity).difference(suitable)
         slow = [worker for worker in suitable if worker.slowness >= 1.0]
         fast = [worker for worker in suitable if worker.slowness < 1.0]
         yield from _by_hall(step, slow)
         yield from _by_hall(step, fast)
-        yield from _by_hall(step, [worker for worker in with_room if worker in rest])
-    yield from _drawn(step, others)
+        yield from _by_hall(
+            step, [worker for worker in with_capacity if worker in rest]
+        )
+    yield from _shuffled(step, others)
 
 
-def _by_hall(step, with_room):
-    """Yield workers with room, from the hall with the most of it first."""
-    room, by_hall = Counter(), defaultdict(list)
-    for worker in with_room:
+def _by_hall(step, with_capacity):
+    """Yield workers with capacity, from the hall with the most of it first."""
+    capacity, by_hall = Counter(), defaultdict(list)
+    for worker in with_capacity:
         hall = worker.entry.hall
-        room[hall] += task_capacity(worker, step.spec)
+        capacity[hall] += task_capacity(worker, step.spec)
         by_hall[hall].append(worker)
-    for hall, _ in room.most_common():
-        yield from _drawn(step, by_hall[hall])
+    for hall, _ in capacity.most_common():
+        yield from _shuffled(step, by_hall[hall])
 
 
-def _drawn(step, workers):
-    """Return workers in an order that is drawn for a step."""
+def _shuffled(step, workers):
+    """Return workers in a pseudo-random order that is fixed for a step."""
     name = step.name
     return sorted(
         workers,
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/__init__.py
@@ -1,4 +1,4 @@
-"""Estimates: how long tasks take, where, and when room comes free."""
+"""Estimate task durations, worker speeds and when capacity is freed."""
 
 from .capacity_forecast import CapacityForecast
 from .free_capacity import FreeCapacity
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/capacity_forecast.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/capacity_forecast.py
@@ -1,4 +1,4 @@
-"""When room comes free on a worker, by what is left of its runs."""
+"""Forecast when capacity is freed on a worker as its runs end."""
 
 from ..state import RunState
 from .free_capacity import FreeCapacity
@@ -7,40 +7,40 @@
 
 
 class CapacityForecast:
-    """Estimate when tasks of a step would find room on a worker."""
+    """Estimate when tasks of a step fit on a worker."""
 
     def __init__(self, *, context, durations):
         self._context = context
         self._durations = durations
 
     def fit_times(self, worker, spec, now_ms):
-        """Return when there is room for the first task of a step, the second, …"""
-        room = FreeCapacity.of(worker)
-        times = room.allocate_all(spec, now_ms)
+        """Return when the first task of a step fits, the second, and so on."""
+        free = FreeCapacity.of(worker)
+        times = free.allocate_all(spec, now_ms)
         for left_ms, run in self._ends(worker, now_ms):
-            if _is_enough(times, spec):
+            if _are_all_placed(times, spec):
                 break
-            room.release(run.step)
-            times += room.allocate_all(spec, now_ms + left_ms)
+            free.release(run.step)
+            times += free.allocate_all(spec, now_ms + left_ms)
         if spec.most_per_worker:
             times = times[: spec.most_per_worker]
         return times[: spec.count]
 
     def fits_by(self, worker, spec, until_ms, now_ms):
-        """Tell whether one task of a step finds room before a moment."""
-        room = FreeCapacity.of(worker)
-        if room.fits(spec):
+        """Return whether one task of a step fits by `until_ms`."""
+        free = FreeCapacity.of(worker)
+        if free.fits(spec):
             return True
         for left_ms, run in self._ends(worker, now_ms):
             if now_ms + left_ms > until_ms:
                 return False
-            room.release(run.step)
-            if room.fits(spec):
+            free.release(run.step)
+            if free.fits(spec):
                 return True
         return False
 
     def _ends(self, worker, now_ms):
-        """Return a worker's runs with what is left of each, the soonest first."""
+        """Return (remaining time, run) of a worker's runs, the soonest first."""
         stop_ms = self._context.bounds.stop_timeout_ms
         rows = []
         for run in worker.runs.values():
@@ -51,5 +51,5 @@
         return sorted(rows, key=lambda row: row[0])
 
 
-def _is_enough(times, spec):
+def _are_all_placed(times, spec):
     return len(times) >= (spec.most_per_worker or spec.count)
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/duration_variance.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/duration_variance.py
@@ -1,9 +1,9 @@
-"""How much tasks on one worker differ in time."""
+"""Variation of task durations on the same worker."""
 
 __all__ = ["IMAGE_DEVIATION", "RUN_VARIANCE"]
 
-# Of logarithms of durations, long tails apart. Tasks of one step, about what that step
-# takes:
+# Variance of the logarithm of durations among tasks of one step, without outliers.
 RUN_VARIANCE = 0.07
-# Tasks of one image, about what the image takes. Its steps differ, too, so it is more.
+# Standard deviation of the logarithm among tasks of one image. It includes the
+# differences between steps.
 IMAGE_DEVIATION = 0.3
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/free_capacity.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/free_capacity.py
@@ -1,10 +1,10 @@
-"""What would be free on a worker if some of its runs ended."""
+"""Track the free capacity of a worker as runs end."""
 
 __all__ = ["FreeCapacity"]
 
 
 class FreeCapacity:
-    """Follow what is free on a worker while its runs end."""
+    """Hold free cpu, memory and accelerators of a worker."""
 
     def __init__(self, *, cpu_milli, memory_mb, accelerators):
         self.cpu_milli = cpu_milli
@@ -13,7 +13,7 @@
 
     @classmethod
     def of(cls, worker):
-        """Return what is free on a worker now."""
+        """Return the current free capacity of a worker."""
         return cls(
             cpu_milli=worker.free_cpu_milli,
             memory_mb=worker.free_memory_mb,
@@ -21,13 +21,13 @@
         )
 
     def release(self, spec):
-        """Add what a task of a step holds."""
+        """Add the resources that a task of a step holds."""
         self.cpu_milli += spec.reserved_cpu_milli
         self.memory_mb += spec.memory_mb
         self.accelerators += spec.accelerators
 
     def allocate_all(self, spec, at_ms):
-        """Take room for as many tasks as fit; return the moment once for each."""
+        """Allocate as many tasks as fit; return `at_ms` once for each."""
         times = []
         while len(times) < spec.count and self.fits(spec):
             self.cpu_milli -= spec.reserved_cpu_milli
@@ -37,7 +37,7 @@
         return times
 
     def fits(self, spec):
-        """Tell whether there is room for one task of a step."""
+        """Return whether one task of a step fits."""
         return (
             spec.reserved_cpu_milli <= self.cpu_milli
             and spec.memory_mb <= self.memory_mb
@@ -45,7 +45,7 @@
         )
 
     def gains_from(self, held, wanted):
-        """Tell whether a task that wants `wanted` gains by the end of another."""
+        """Return whether releasing `held` provides a resource that `wanted` lacks."""
         return (
             (wanted.reserved_cpu_milli > self.cpu_milli and held.reserved_cpu_milli > 0)
             or (wanted.memory_mb > self.memory_mb and held.memory_mb > 0)
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/image_durations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/image_durations.py
@@ -1,4 +1,4 @@
-"""How long tasks of the same image take."""
+"""Learn how long tasks of an image take."""
 
 from collections import OrderedDict
 
@@ -6,38 +6,38 @@
 
 __all__ = ["ImageDurations"]
 
-# A new duration counts this much beside what was known.
-WEIGHT_OF_NEWEST = 0.3
-# A duration this many times the known one is a long tail, and counts less.
-OUTLIER = 2.0
-WEIGHT_OF_OUTLIER = 0.05
-# A run counts as late once its expected total is this many times the usual one.
-LATE = 2.0
-# Progress is told in whole percent; a pace is read from this long of it.
-SHORTEST_SPAN_MS = 250.0
-# A start is stored and sent before a task begins, its end heard and stored after it.
+# Weight of the newest duration in the moving average.
+SMOOTHING_FACTOR = 0.3
+# Durations above this multiple of the average get a low weight.
+OUTLIER_FACTOR = 2.0
+OUTLIER_WEIGHT = 0.05
+# A run is late if its expected duration is above this multiple of the usual one.
+LATE_FACTOR = 2.0
+# Shortest span from which a pace is computed, since progress is in whole percent.
+MIN_SPAN_MS = 250.0
+# Time to store and send a start, and to receive and store the end.
 OVERHEAD_MS = 100.0
-# Images are callers' text, a new one for each build: those seen last are kept.
+# Callers may use a new image for each build: only the latest are kept.
 MAX_IMAGES = 1_000
 
 
 class ImageDurations:
-    """Learn durations by image, since callers' estimates are far off.
+    """Learn durations by image, since callers' estimates are inaccurate.
 
-    What is kept is the time on an ordinary worker; on a given one it is as many times
-    as long as the worker is slow. Units: milliseconds.
+    Durations refer to an average worker; multiply by a worker's slowness to get the
+    duration there. Units: milliseconds.
     """
 
     def __init__(self):
         self._mean_ms = OrderedDict()
 
     def learn(self, image, took_ms):
-        """Note how long a task took, or would have, on an ordinary worker."""
+        """Add a task's duration, normalized to an average worker."""
         if not image:
             return
         known_ms = self._mean_ms.pop(image, took_ms)
-        outlier = took_ms > OUTLIER * known_ms
-        weight = WEIGHT_OF_OUTLIER if outlier else WEIGHT_OF_NEWEST
+        is_outlier = took_ms > OUTLIER_FACTOR * known_ms
+        weight = OUTLIER_WEIGHT if is_outlier else SMOOTHING_FACTOR
         self._mean_ms[image] = known_ms + weight * (took_ms - known_ms)
         while len(self._mean_ms) > MAX_IMAGES:
             self._mean_ms.popitem(last=False)
@@ -47,43 +47,43 @@
         return self._mean_ms.get(image)
 
     def expected_ms(self, step, worker=None):
-        """Return the learned duration, or else the caller's estimate.
+        """Return the duration on a worker, by default on an average one.
 
-        On a worker, or on an ordinary one.
+        This is the learned duration, or else the caller's estimate.
         """
         known_ms = self.known_ms(step.image)
         usual_ms = known_ms if known_ms is not None else float(step.estimated_ms)
         return usual_ms if worker is None else usual_ms * worker.slowness
 
     def ends_in_time(self, step, start_ms, worker=None):
-        """Tell whether a task of a step that starts at a moment meets its objective."""
+        """Return whether a task that starts at `start_ms` meets its job's objective."""
         return start_ms + self.expected_ms(step.spec, worker) < step.job.objective_ms
 
     def lateness_probability(self, step, now_ms):
-        """Return what judges workers for tasks of a step; None where time is no aim.
+        """Return a step's lateness probability, or None if it has no objective.
 
-        What the job's later steps take is left for them.
+        The time that the job's later steps need is set aside.
         """
         job = step.job
         if step.spec.long_running or step.spec.fills_idle_cpu or not job.objective_ms:
             return None
-        chain_ms = self._later_chain_ms(job.spec.steps, step.index)
+        critical_path_ms = self._remaining_critical_path_ms(job.spec.steps, step.index)
         return LatenessProbability(
             usual_ms=self.expected_ms(step.spec),
-            left_ms=job.objective_ms - chain_ms - now_ms - OVERHEAD_MS,
+            left_ms=job.objective_ms - critical_path_ms - now_ms - OVERHEAD_MS,
         )
 
-    def _later_chain_ms(self, steps, index):
-        """Return the longest chain of work that follows a step."""
-        chain_ms = [0.0] * len(steps)
+    def _remaining_critical_path_ms(self, steps, index):
+        """Return the length of the critical path after a step."""
+        critical_path_ms = [0.0] * len(steps)
         for later in range(len(steps) - 1, index, -1):
-            total_ms = chain_ms[later] + self.expected_ms(steps[later])
+            total_ms = critical_path_ms[later] + self.expected_ms(steps[later])
             for earlier in steps[later].after:
-                chain_ms[earlier] = max(chain_ms[earlier], total_ms)
-        return chain_ms[index]
+                critical_path_ms[earlier] = max(critical_path_ms[earlier], total_ms)
+        return critical_path_ms[index]
 
     def left_ms(self, run, now_ms):
-        """Return how long a run is expected to go on."""
+        """Return the expected remaining time of a run."""
         total_ms = self._pace_total_ms(run)
         if total_ms is not None:
             at_listing_ms = total_ms * (100 - run.percent) / 100.0
@@ -92,49 +92,49 @@
         return max(0.0, self.expected_ms(run.step, run.worker) - elapsed_ms)
 
     def _pace_total_ms(self, run):
-        """Return the total time at the pace that was seen, None if there is none."""
+        """Return the total duration at the observed pace, or None if unknown."""
         span_ms = run.listed_ms - run.first_listed_ms
         first_percent = run.first_percent
         has_known_duration = not run.resumed and not run.started_by_previous_owner
-        if span_ms < SHORTEST_SPAN_MS and has_known_duration:
+        if span_ms < MIN_SPAN_MS and has_known_duration:
             span_ms = run.listed_ms - run.began_ms
             first_percent = 0
-        if span_ms < SHORTEST_SPAN_MS or run.percent < 0:
+        if span_ms < MIN_SPAN_MS or run.percent < 0:
             return None
         gained = run.percent - first_percent
         return span_ms * 100.0 / max(gained, 0.5)
 
     def late_ms(self, run, now_ms):
-        """Return by how much a run falls behind a new one elsewhere, 0 if not.
+        """Return by how much a run would end after a new one elsewhere, 0 if not.
 
-        It is behind only if it takes far longer than usual on its worker.
+        Only runs that take far longer than usual on their worker count as late.
         """
-        known_ms = self._known_work_ms(run.step)
+        known_ms = self._learned_ms(run.step)
         if known_ms is None:
             return 0.0
         usual_ms = known_ms * run.worker.healthy_slowness
         total_ms = self._pace_total_ms(run)
         if total_ms is None:
-            # It was never listed: late if it should have ended a while ago.
+            # No progress was reported: late if it should have ended a while ago.
             elapsed_ms = now_ms - run.began_ms if run.began_ms else 0.0
-            return max(0.0, elapsed_ms - LATE * usual_ms)
-        if total_ms < LATE * usual_ms:
+            return max(0.0, elapsed_ms - LATE_FACTOR * usual_ms)
+        if total_ms < LATE_FACTOR * usual_ms:
             return 0.0
         return max(0.0, self.left_ms(run, now_ms) - 1.2 * known_ms)
 
     def overrun_factor(self, run):
-        """Return how many times as long as usual on its worker a run takes.
+        """Return a run's duration relative to the usual one on its worker.
 
-        None if not known.
+        None if unknown.
         """
-        known_ms = self._known_work_ms(run.step)
+        known_ms = self._learned_ms(run.step)
         total_ms = self._pace_total_ms(run)
         if known_ms is None or total_ms is None:
             return None
         return total_ms / (known_ms * run.worker.healthy_slowness)
 
-    def _known_work_ms(self, step):
-        """Return what a task takes on an ordinary worker, None where it isn't known."""
+    def _learned_ms(self, step):
+        """Return the learned duration of a step's tasks, or None if unknown."""
         if step.long_running or step.fills_idle_cpu:
             return None
         return self.known_ms(step.image)
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/log_estimate.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/log_estimate.py
@@ -1,4 +1,4 @@
-"""What is believed of a quantity that is learned from noisy observations."""
+"""Estimate a quantity from noisy observations."""
 
 from attrs import define
 
@@ -7,9 +7,10 @@
 
 @define(kw_only=True)
 class LogEstimate:
-    """Keep mean and variance of the logarithm of a quantity; doubt grows with time.
+    """Hold mean and variance of the logarithm of a quantity that drifts over time.
 
-    Units: natural logarithms, `*_ms` on the steady clock.
+    A one-dimensional Kalman filter. Units: natural logarithms, `*_ms` on the steady
+    clock.
     """
 
     mean: float
@@ -17,18 +18,18 @@
     at_ms: float
     max_variance: float
 
-    def add_drift(self, now_ms, per_s):
-        """Let the variance grow since the last time by so much a second."""
-        grown = self.variance + per_s * max(0.0, now_ms - self.at_ms) / 1000.0
+    def add_drift(self, now_ms, variance_per_s):
+        """Increase the variance by the drift since the last call."""
+        grown = self.variance + variance_per_s * max(0.0, now_ms - self.at_ms) / 1000.0
         self.variance = min(self.max_variance, grown)
         self.at_ms = now_ms
 
     def add_variance(self, variance):
-        """Keep the mean, with more doubt."""
+        """Increase the variance and keep the mean."""
         self.variance = min(self.max_variance, self.variance + variance)
 
-    def move(self, residual, *, total_variance, weight=1.0):
-        """Take this quantity's part of what an observation differs by."""
+    def update(self, residual, *, total_variance, weight=1.0):
+        """Correct the mean by its part of an observation's residual."""
         gain = weight * self.variance / total_variance
         self.mean += gain * residual
         self.variance *= 1.0 - gain
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/speed_announcements.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/speed_announcements.py
@@ -1,4 +1,4 @@
-"""What the members of the group are told of machines' speeds, and when again."""
+"""Choose which machine speeds to announce to the other members, and when again."""
 
 from math import inf, log
 
@@ -8,27 +8,27 @@
 
 __all__ = ["REANNOUNCE_MS", "SpeedAnnouncements"]
 
-# What has moved by this factor since it was told changes where tasks go.
-NOTABLE = log(1.14)
-# Members that came later are told within this time. They forget what they were told
-# after several times as long.
+# Logarithm of the change in slowness that is announced: it affects placement.
+NOTABLE_CHANGE = log(1.14)
+# Interval after which a speed is announced again, for members that joined later.
+# Members forget a speed after a few times as long.
 REANNOUNCE_MS = 100_000.0
 
 
 @frozen(kw_only=True)
-class _Told:
+class _Announcement:
     log_slowness: float = 0.0
     at_ms: float = -inf
 
 
-NEVER_TOLD = _Told()
+NEVER_ANNOUNCED = _Announcement()
 
 
 class SpeedAnnouncements:
-    """Choose what to tell next: what has changed, and what was told long ago.
+    """Choose the next announcements: changed speeds, and those announced long ago.
 
-    Of a machine that became doubtful again, what was told last is repeated: whoever
-    owns the cell next learns it better by a few runs.
+    For a machine whose speed became uncertain, the last announced value is repeated;
+    the next owner corrects it after a few runs.
     """
 
     def __init__(self, *, speeds):
@@ -36,32 +36,38 @@
         self._announced = {}
 
     def inherit(self, speeds):
-        """Tell on what was told by an earlier owner."""
+        """Take over the speeds that a previous owner announced."""
         for speed in speeds:
-            self._announced[speed.machine] = _Told(log_slowness=speed.log_slowness)
+            self._announced[speed.machine] = _Announcement(
+                log_slowness=speed.log_slowness
+            )
 
-    def next_batch(self, machines, most, now_ms):
-        """Return the news of so many machines, those first that were told longest ago.
+    def next_batch(self, machines, max_count, now_ms):
+        """Return up to `max_count` announcements, the longest overdue first.
 
-        Machines that are there no more are forgotten.
+        Machines that are not in `machines` are forgotten.
         """
         self._announced = {
             m: self._announced[m] for m in machines if m in self._announced
         }
         due = [machine for machine in machines if self._is_due(machine, now_ms)]
-        due.sort(key=lambda machine: self._announced.get(machine, NEVER_TOLD).at_ms)
-        return [self._tell(machine, now_ms) for machine in due[:most]]
+        due.sort(
+            key=lambda machine: self._announced.get(machine, NEVER_ANNOUNCED).at_ms
+        )
+        return [self._announce(machine, now_ms) for machine in due[:max_count]]
 
     def _is_due(self, machine, now_ms):
-        told = self._announced.get(machine, NEVER_TOLD)
-        if machine in self._announced and now_ms - told.at_ms >= REANNOUNCE_MS:
+        last_sent = self._announced.get(machine, NEVER_ANNOUNCED)
+        if machine in self._announced and now_ms - last_sent.at_ms >= REANNOUNCE_MS:
             return True
         known = self._speeds.known_log_slowness(machine)
-        return known is not None and abs(known - told.log_slowness) >= NOTABLE
+        return (
+            known is not None and abs(known - last_sent.log_slowness) >= NOTABLE_CHANGE
+        )
 
-    def _tell(self, machine, now_ms):
+    def _announce(self, machine, now_ms):
         known = self._speeds.known_log_slowness(machine)
         if known is None:
             known = self._announced[machine].log_slowness
-        self._announced[machine] = _Told(log_slowness=known, at_ms=now_ms)
+        self._announced[machine] = _Announcement(log_slowness=known, at_ms=now_ms)
         return LearnedSpeed(machine=machine, log_slowness=known)
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/speed_learner.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/speed_learner.py
@@ -1,4 +1,4 @@
-"""Learning how fast a cell's workers are from the ends of their runs."""
+"""Learn the speeds of a cell's workers from their runs."""
 
 from math import exp
 
@@ -7,76 +7,73 @@
 
 __all__ = ["SpeedLearner"]
 
-# Whether workers are uneven, and how slow each is, is judged anew this often: each
-# review is a pass over all workers, and a worker ends a few runs in between.
+# Interval of reviews; each is a pass over all workers.
 REVIEW_MS = 500.0
-# Progress is told in whole percent and read at looks: from here on it tells a run's
-# whole time to within a tenth.
-LEAST_PERCENT = 15
-LEAST_SPAN_MS = 300.0
-# Speeds are logged this often while workers are uneven.
-NOTE_MS = 10_000.0
-# The other members are told this often, of so many machines at most: some hundred bytes
-# a second on each link, and all is told within some seconds.
-TELL_MS = 2_000.0
-MOST_TOLD = 24
-# Of the workers that turn out slow or fast at a time, so many are logged each.
-MOST_NOTED = 8
+# Progress and run time from which a run's total duration can be extrapolated.
+MIN_PERCENT = 15
+MIN_SPAN_MS = 300.0
+# How often speeds are logged while workers are heterogeneous.
+LOG_INTERVAL_MS = 10_000.0
+# Interval and size of announcements to the other members.
+ANNOUNCE_INTERVAL_MS = 2_000.0
+MAX_ANNOUNCED = 24
+# Limit of newly slow or fast workers that are logged one by one in a review.
+MAX_LOGGED = 8
 
 
 class SpeedLearner:
-    """Learn from good ends and give each worker its slowness."""
+    """Learn from successful runs and set the slowness of each worker."""
 
     def __init__(self, *, context, durations, speeds):
         self._context = context
         self._durations = durations
         self._speeds = speeds
-        self._news = SpeedAnnouncements(speeds=speeds)
+        self._announcements = SpeedAnnouncements(speeds=speeds)
         self._review_due_ms = 0.0
-        self._note_due_ms = 0.0
-        self._tell_due_ms = 0.0
+        self._log_due_ms = 0.0
+        self._announce_due_ms = 0.0
 
     def on_done(self, run, now_ms):
-        """Learn from the good end of a run that this owner saw begin."""
+        """Learn from a successful run that this owner saw begin."""
         took_ms = now_ms - run.began_ms
         self._durations.learn(run.step.image, took_ms / run.slowness)
         if not run.is_speed_learned:
             self._learn(run, took_ms, now_ms)
 
     def _learn_from_progress(self, now_ms):
-        """Learn from runs that are some way on: long ones end only much later."""
+        """Learn from the progress of running runs, since long ones end late."""
         for worker in self._context.workers.values():
             for run in worker.runs.values():
-                if not run.is_speed_learned and _is_some_way_on(run):
+                if not run.is_speed_learned and _has_measurable_progress(run):
                     run.is_speed_learned = True
                     span_ms = run.listed_ms - run.began_ms
                     self._learn(run, span_ms * 100.0 / run.percent, now_ms)
 
     def _learn(self, run, took_ms, now_ms):
-        """Learn from the whole time of a run, as it was or as it is going to be."""
-        if not _tells_of_worker(run):
+        """Learn from the measured or extrapolated duration of a run."""
+        if not _reflects_worker_speed(run):
             return
-        is_set_aside = self._speeds.learn(
+        is_outlier = self._speeds.learn(
             worker=run.worker,
             step_name=run.task.step.name,
             step=run.step,
             took_ms=took_ms,
             now_ms=now_ms,
         )
-        if is_set_aside:
+        if is_outlier:
             self._context.count("speeds", "outlier")
 
     def inherit(self, speeds, *, now_ms):
-        """Begin with what earlier owners have learned."""
+        """Start with the speeds that previous owners learned."""
         if not speeds:
             return
         self._speeds.inherit(speeds, now_ms)
-        self._news.inherit(speeds)
+        self._announcements.inherit(speeds)
         self._context.note("speeds_inherited", machines=len(speeds))
         self._review(now_ms)
 
     def review(self, now_ms):
-        """Give workers their slowness, log and tell what has changed, now and then."""
+        """Update, log and announce the workers' slowness if a review is due."""
         if now_ms >= self._review_due_ms:
             self._review(now_ms)
 
@@ -95,22 +92,22 @@
             worker.slowness = self._speeds.slowness(worker.machine)
         if not self._speeds.is_heterogeneous:
             return
-        self._note(machines, now_ms)
-        self._tell(machines, now_ms)
+        self._log(machines, now_ms)
+        self._announce(machines, now_ms)
 
-    def _note(self, machines, now_ms):
-        """Log who turned out slow or fast, and all speeds from time to time."""
+    def _log(self, machines, now_ms):
+        """Log workers that became slow or fast, and periodically all speeds."""
         found = self._speeds.newly_notable(machines)
-        for machine, kind, log_slowness in found[:MOST_NOTED]:
+        for machine, kind, log_slowness in found[:MAX_LOGGED]:
             slowness = round(exp(log_slowness), 2)
             self._context.note(
                 "worker_speed", machine=machine, kind=kind, slowness=slowness
             )
         for _, kind, _ in found:
             self._context.count("speeds", kind)
-        if now_ms < self._note_due_ms:
+        if now_ms < self._log_due_ms:
             return
-        self._note_due_ms = now_ms + NOTE_MS
+        self._log_due_ms = now_ms + LOG_INTERVAL_MS
         rows = sorted(exp(self._speeds.log_slowness(machine)) for machine in machines)
         self._context.note(
             "worker_speeds",
@@ -122,24 +119,24 @@
             slowest=round(rows[-1], 2),
         )
 
-    def _tell(self, machines, now_ms):
-        if now_ms < self._tell_due_ms:
+    def _announce(self, machines, now_ms):
+        if now_ms < self._announce_due_ms:
             return
-        self._tell_due_ms = now_ms + TELL_MS
-        news = self._news.next_batch(machines, MOST_TOLD, now_ms)
-        if news:
-            self._context.emit(AnnounceSpeeds(speeds=tuple(news)))
+        self._announce_due_ms = now_ms + ANNOUNCE_INTERVAL_MS
+        announced = self._announcements.next_batch(machines, MAX_ANNOUNCED, now_ms)
+        if announced:
+            self._context.emit(AnnounceSpeeds(speeds=tuple(announced)))
 
 
-def _is_some_way_on(run):
-    """Tell whether a run's progress tells how long it takes."""
-    if run.percent < LEAST_PERCENT or run.percent >= 100 or not run.has_known_duration:
+def _has_measurable_progress(run):
+    """Return whether a run's duration can be extrapolated from its progress."""
+    if run.percent < MIN_PERCENT or run.percent >= 100 or not run.has_known_duration:
         return False
-    return run.percent_changed_ms - run.began_ms >= LEAST_SPAN_MS
+    return run.percent_changed_ms - run.began_ms >= MIN_SPAN_MS
 
 
-def _tells_of_worker(run):
-    """Tell whether a run's time says how fast its worker is."""
+def _reflects_worker_speed(run):
+    """Return whether a run's duration depends on its worker's speed alone."""
     step = run.step
     if step.gang or step.long_running or step.fills_idle_cpu:
         return False
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/worker_speeds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/worker_speeds.py
@@ -1,4 +1,4 @@
-"""How fast workers are, apart from what the images that they run take."""
+"""Learn worker speeds independently of the durations of the tasks they run."""
 
 from collections import OrderedDict
 from itertools import chain
@@ -13,52 +13,49 @@
 
 __all__ = ["LearnedSpeed", "WorkerSpeeds"]
 
-# Variances of logarithms. Workers of one service differ by two to three times, and
-# images by more than callers' estimates of them tell.
+# Initial variances of the logarithms of slowness and duration.
 MACHINE_VARIANCE = 0.25
 IMAGE_VARIANCE = 0.36
-# Steps of one image differ, too: what tasks of one step took on different workers says
-# more than what tasks of different steps took.
+# Variance among steps of one image.
 STEP_VARIANCE = 0.08
-# Callers' estimates of one step.
+# Variance of callers' estimates for a step.
 ESTIMATE_VARIANCE = 0.4
-# Machines change seldom, images with each release of their callers' code.
+# Growth of the variances, since machines and images change over time.
 MACHINE_DRIFT_PER_S = 0.0005
 IMAGE_DRIFT_PER_S = 0.0005
-# A worker that has started again is most likely the machine that it was.
-RESTART_DOUBT = 0.03
-# What an earlier owner has told counts as known, and is corrected by a few runs.
+# Added when a worker restarts: it most likely runs on the same machine.
+RESTART_VARIANCE = 0.03
+# Variance of speeds that a previous owner announced.
 INHERITED_VARIANCE = 0.03
-# Beyond this many standard deviations an observation counts less, and one that took too
-# long counts next to nothing beyond the second: a long tail, or a worker that is slow
-# for a while. No run ends far too soon by chance.
-DOUBTED_DEVIATIONS = 2.0
+# Observations beyond the first number of standard deviations get a lower weight. Those
+# that took too long, beyond the second, are outliers: a long tail or a temporarily slow
+# worker.
+REDUCED_WEIGHT_DEVIATIONS = 2.0
 OUTLIER_DEVIATIONS = 3.0
-WEIGHT_OF_OUTLIER = 0.01
-# What is slower for so long, in so many runs in a row, has changed for good: machines
-# that are slow for a while recover within some seconds. What is faster has recovered.
+OUTLIER_WEIGHT = 0.01
+# A machine that deviates for this many runs in a row is learned anew. A slower one also
+# has to be slower for this long, since it may recover.
 CHANGED_RUNS = 6
 RECOVERED_RUNS = 3
 CHANGED_AFTER_MS = 15_000.0
-# A worker is known once its variance is below this: after two or three runs of images
-# that are known.
+# A machine's speed is known while its variance is at most this.
 KNOWN_VARIANCE = 0.06
-# Workers count as uneven while at least two, and this share, of those known differ from
-# the middle one by this factor or more, beyond what doubt explains.
+# Workers become heterogeneous once at least two, and the first share, of the known ones
+# deviate notably from the median, and homogeneous again below the second share.
 NOTABLE = log(1.3)
 NOTABLE_DEVIATIONS = 3.0
-UNEVEN_SHARE = 0.1
-EVEN_SHARE = 0.04
-# Slowness is told in steps of this factor: less makes no difference to any decision.
+HETEROGENEOUS_SHARE = 0.1
+HOMOGENEOUS_SHARE = 0.04
+# Slowness is rounded to powers of this factor.
 SLOWNESS_QUANTUM = log(1.1)
 MAX_IMAGES = 1_000
-MOST_STEPS = 400
+MAX_STEPS = 400
 MAX_MACHINES = 4_000
 
 
 @define(kw_only=True)
 class LearnedSpeed:
-    """Tell how slow a machine is; `log_slowness` is 0 for an ordinary one."""
+    """Hold the learned speed of a machine; `log_slowness` is 0 for an average one."""
 
     machine: str
     log_slowness: float
@@ -66,26 +63,26 @@
 
 @define(kw_only=True)
 class _Machine:
-    """Hold what is known of a machine.
+    """Hold the state of a machine.
 
-    `off_*` tells of runs in a row that were off one way.
+    `deviation_*` describe consecutive runs that deviated in the same direction.
     """
 
     estimate: LogEstimate
     born_epoch_ms: int = 0
-    noted: str = "ordinary"
-    off_runs: int = 0
-    off_since_ms: float = 0.0
-    off_sign: int = 0
+    logged_kind: str = "ordinary"
+    deviation_runs: int = 0
+    deviation_since_ms: float = 0.0
+    deviation_sign: int = 0
 
 
 class WorkerSpeeds:
-    """Learn the slowness of machines and the work of steps together.
+    """Learn the slowness of machines and the durations of steps together.
 
-    log(duration) = log(what the step takes on an ordinary worker) + log(slowness of
-    the worker) + noise. Each unknown takes the part of a difference that its variance
-    is of the whole. What a step takes is first believed by its image and by its
-    caller's estimate. An ordinary worker is one of average speed.
+    log(duration) = log(duration of the step on an average worker) + log(slowness of
+    the machine) + noise. Each residual is split among the unknowns in proportion to
+    their variances. The initial duration of a step combines that of its image with its
+    caller's estimate.
     """
 
     def __init__(self):
@@ -95,7 +92,7 @@
         self.is_heterogeneous = False
 
     def learn(self, *, worker, step_name, step, took_ms, now_ms):
-        """Note the good end of a whole run; tell whether it was set aside."""
+        """Learn from a successful run; return whether it was an outlier."""
         known = self._machine(worker.machine, worker.born_epoch_ms, now_ms)
         image = self._image(step, now_ms)
         work = self._work(step_name, step, image, now_ms)
@@ -104,40 +101,40 @@
         total = known.estimate.variance + work.variance + RUN_VARIANCE
         deviations = abs(residual) / sqrt(total)
         is_outlier = residual > 0.0 and deviations > OUTLIER_DEVIATIONS
-        weight = min(1.0, DOUBTED_DEVIATIONS / max(deviations, 1e-9))
+        weight = min(1.0, REDUCED_WEIGHT_DEVIATIONS / max(deviations, 1e-9))
         if is_outlier:
-            weight = WEIGHT_OF_OUTLIER
+            weight = OUTLIER_WEIGHT
         residual_of_image = took - image.mean - known.estimate.mean
-        known.estimate.move(residual, total_variance=total, weight=weight)
-        work.move(residual, total_variance=total, weight=weight)
-        image.move(
+        known.estimate.update(residual, total_variance=total, weight=weight)
+        work.update(residual, total_variance=total, weight=weight)
+        image.update(
             residual_of_image,
             total_variance=total + image.variance + STEP_VARIANCE,
             weight=weight,
         )
-        is_off = deviations > DOUBTED_DEVIATIONS
-        self._watch_change(known, residual if is_off else 0.0, now_ms)
+        is_deviating = deviations > REDUCED_WEIGHT_DEVIATIONS
+        self._detect_change(known, residual if is_deviating else 0.0, now_ms)
         return is_outlier
 
     def _machine(self, machine, born_epoch_ms, now_ms):
         known = self._machines.pop(machine, None)
         if known is None:
-            known = _Machine(estimate=_belief(0.0, MACHINE_VARIANCE, now_ms))
+            known = _Machine(estimate=_new_estimate(0.0, MACHINE_VARIANCE, now_ms))
             known.born_epoch_ms = born_epoch_ms
         self._machines[machine] = known
         _drop_oldest(self._machines, MAX_MACHINES)
         known.estimate.add_drift(now_ms, MACHINE_DRIFT_PER_S)
         if born_epoch_ms != known.born_epoch_ms:
             if known.born_epoch_ms:
-                known.estimate.add_variance(RESTART_DOUBT)
+                known.estimate.add_variance(RESTART_VARIANCE)
             known.born_epoch_ms = born_epoch_ms
         return known
 
     def _image(self, step, now_ms):
-        """Return what is believed of an image's work."""
+        """Return the estimated duration of an image."""
         image = self._images.pop(step.image, None) if step.image else None
         if image is None:
-            image = _belief(_estimate(step), IMAGE_VARIANCE, now_ms)
+            image = _new_estimate(_caller_log_ms(step), IMAGE_VARIANCE, now_ms)
         image.add_drift(now_ms, IMAGE_DRIFT_PER_S)
         if step.image:
             self._images[step.image] = image
@@ -145,63 +142,67 @@
         return image
 
     def _work(self, step_name, step, image, now_ms):
-        """Return what is believed of a step's work, first by image and estimate."""
+        """Return the estimated duration of a step."""
         work = self._steps.pop(step_name, None)
         if work is None:
             by_image = image.variance + STEP_VARIANCE
             part = by_image / (by_image + ESTIMATE_VARIANCE)
-            mean = image.mean + part * (_estimate(step) - image.mean)
-            work = _belief(mean, (1.0 - part) * by_image, now_ms)
+            mean = image.mean + part * (_caller_log_ms(step) - image.mean)
+            work = _new_estimate(mean, (1.0 - part) * by_image, now_ms)
         self._steps[step_name] = work
-        _drop_oldest(self._steps, MOST_STEPS)
+        _drop_oldest(self._steps, MAX_STEPS)
         return work
 
     @staticmethod
-    def _watch_change(machine, residual, now_ms):
-        """Learn a machine anew that has been off one way for long."""
+    def _detect_change(machine, residual, now_ms):
+        """Reset a machine that has deviated in one direction for long."""
         sign = (residual > 0.0) - (residual < 0.0)
-        if not sign or sign != machine.off_sign:
-            machine.off_sign, machine.off_runs, machine.off_since_ms = sign, 0, now_ms
+        if not sign or sign != machine.deviation_sign:
+            (
+                machine.deviation_sign,
+                machine.deviation_runs,
+                machine.deviation_since_ms,
+            ) = sign, 0, now_ms
         if not sign:
             return
-        machine.off_runs += 1
-        lasted_ms = now_ms - machine.off_since_ms
+        machine.deviation_runs += 1
+        lasted_ms = now_ms - machine.deviation_since_ms
         if sign > 0:
             has_changed = (
-                machine.off_runs >= CHANGED_RUNS and lasted_ms >= CHANGED_AFTER_MS
+                machine.deviation_runs >= CHANGED_RUNS and lasted_ms >= CHANGED_AFTER_MS
             )
         else:
-            has_changed = machine.off_runs >= RECOVERED_RUNS
+            has_changed = machine.deviation_runs >= RECOVERED_RUNS
         if has_changed:
             machine.estimate.add_variance(MACHINE_VARIANCE)
-            machine.off_sign = 0
+            machine.deviation_sign = 0
 
     def inherit(self, speeds, now_ms):
-        """Begin with what an earlier owner has told, unless it is known here."""
+        """Add speeds that a previous owner announced for unknown machines."""
         for speed in speeds:
             if speed.machine not in self._machines:
-                estimate = _belief(speed.log_slowness, INHERITED_VARIANCE, now_ms)
+                estimate = _new_estimate(speed.log_slowness, INHERITED_VARIANCE, now_ms)
                 self._machines[speed.machine] = _Machine(estimate=estimate)
         _drop_oldest(self._machines, MAX_MACHINES)
 
-    # What is known ------------------------------------------------------------
+    # Results -------------------------------------------------------------------
 
     def log_slowness(self, machine):
-        """Return the logarithm of a machine's slowness, 0 while nothing is known."""
+        """Return the logarithm of a machine's slowness, 0 if unknown."""
         known = self._machines.get(machine)
         return known.estimate.mean if known is not None else 0.0
 
     def known_log_slowness(self, machine):
-        """Return the logarithm of a machine's slowness, None while it is doubtful."""
+        """Return the logarithm of a machine's slowness, None while it is uncertain."""
         known = self._machines.get(machine)
         if known is None or known.estimate.variance > KNOWN_VARIANCE:
             return None
         return known.estimate.mean
 
     def slowness(self, machine):
-        """Return how many times as long as on an ordinary worker runs take.
+        """Return the factor by which runs take longer than on an average machine.
 
-        Exactly 1 while workers are alike, as far as is known.
+        Exactly 1 while workers are homogeneous.
         """
         if not self.is_heterogeneous:
             return 1.0
@@ -209,10 +210,14 @@
         return exp(SLOWNESS_QUANTUM * quanta)
 
     def review(self, machines):
-        """Judge whether the present machines are uneven; tell whether that changed."""
-        beliefs = [self._machines[m].estimate for m in machines if m in self._machines]
+        """Update `is_heterogeneous`; return whether it changed."""
+        all_estimates = [
+            self._machines[m].estimate for m in machines if m in self._machines
+        ]
         known = [
-            estimate for estimate in beliefs if estimate.variance <= KNOWN_VARIANCE
+            estimate
+            for estimate in all_estimates
+            if estimate.variance <= KNOWN_VARIANCE
         ]
         if not known:
             return False
@@ -220,7 +225,7 @@
             self._center(known)
         middle = median(estimate.mean for estimate in known)
         notable = sum(_is_notable(estimate, middle) for estimate in known)
-        share = EVEN_SHARE if self.is_heterogeneous else UNEVEN_SHARE
+        share = HOMOGENEOUS_SHARE if self.is_heterogeneous else HETEROGENEOUS_SHARE
         was, self.is_heterogeneous = (
             self.is_heterogeneous,
             notable >= max(2, share * len(known)),
@@ -228,10 +233,10 @@
         return was != self.is_heterogeneous
 
     def _center(self, known):
-        """Call the average worker ordinary; what steps take moves the other way.
+        """Shift the estimates so that the average machine has slowness 1.
 
-        Durations alone don't tell how much of them is due to the workers, and callers'
-        estimates may be off all one way.
+        Durations alone do not determine this scale, and callers' estimates may be
+        biased.
         """
         offset = fmean(estimate.mean for estimate in known)
         for machine in self._machines.values():
@@ -240,25 +245,25 @@
             work.mean += offset
 
     def newly_notable(self, machines):
-        """Return the machines that became notably slow or fast, or ordinary again."""
+        """Return the machines that became notably slow or fast, or average again."""
         found = []
         for machine in machines:
             log_slowness = self.known_log_slowness(machine)
             if log_slowness is None:
                 continue
-            kind = _kind(log_slowness)
-            if kind != self._machines[machine].noted:
-                self._machines[machine].noted = kind
+            kind = _speed_kind(log_slowness)
+            if kind != self._machines[machine].logged_kind:
+                self._machines[machine].logged_kind = kind
                 found.append((machine, kind, log_slowness))
         return found
 
 
-def _belief(mean, variance, now_ms):
+def _new_estimate(mean, variance, now_ms):
     most = max(variance, MACHINE_VARIANCE)
     return LogEstimate(mean=mean, variance=variance, at_ms=now_ms, max_variance=most)
 
 
-def _estimate(step):
+def _caller_log_ms(step):
     return log(max(1.0, step.estimated_ms))
 
 
@@ -272,7 +277,7 @@
     return abs(estimate.mean - middle) > bound
 
 
-def _kind(log_slowness):
+def _speed_kind(log_slowness):
     if log_slowness > log(FAR_SLOWER_FACTOR):
         return "far_slower"
     if log_slowness > NOTABLE:
--- a/packages/thymefork-cells/src/thymefork_cells/placement/preemptor.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/preemptor.py
@@ -32,7 +32,7 @@
         self._durations = durations
 
     def make_room(self, step, workers, wanted, now_ms):
-        """Stop runs to make tasks of a step fit soon; return whether any was stopped."""
+        """Stop runs to make tasks of a step fit; return whether any was stopped."""
         if now_ms < max(
             step.ready_ms + PREEMPTION_DELAY_MS, step.preempt_not_before_ms
         ):
--- a/packages/thymefork-cells/src/thymefork_cells/placement/speed_scorer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/speed_scorer.py
@@ -31,7 +31,7 @@
     """
 
     def __init__(self, *, lateness, is_most_urgent):
-        self._chance = lateness
+        self._lateness = lateness
         self._fast_penalty = (
             FAST_PENALTY_MOST_URGENT if is_most_urgent else FAST_PENALTY
         )
@@ -49,18 +49,20 @@
         if worker.is_far_slower:
             return SPEED_SCORE_RANGE
         factor = REMOTE_FACTOR if is_remote else 1.0
-        late_points = LATE_PENALTY * self._chance.for_slowness(worker.slowness * factor)
+        late_score = LATE_PENALTY * self._lateness.for_slowness(
+            worker.slowness * factor
+        )
         bounded = min(MAX_SPEED_FACTOR, max(1.0 / MAX_SPEED_FACTOR, worker.slowness))
-        return late_points - self._fast_penalty * log(bounded)
+        return late_score - self._fast_penalty * log(bounded)
 
     def suitable(self, workers):
         """Return the workers with almost the lowest lateness probability."""
-        return self._chance.suitable(workers)
+        return self._lateness.suitable(workers)
 
     def metric_labels(self, workers):
         """Return the label of the `placed_by_speed` metric by worker slowness."""
         slownesses = {worker.slowness for worker in workers}
-        suitable = self._chance.suitable_slownesses(slownesses)
+        suitable = self._lateness.suitable_slownesses(slownesses)
         if suitable == slownesses:
             return {
                 slowness: f"slack_on_{_speed_class(slowness)}"
