--- a/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
@@ -186,7 +186,7 @@
             wanted,
             approval_rate=self._approval_rates.rate_of(step.job.queue_name),
             waited_ms=step.longest_wait_ms(now_ms),
-            most=MAX_WORKERS_PER_CALL,
+            max_workers=MAX_WORKERS_PER_CALL,
             lateness=lateness,
         )
 
--- a/packages/thymefork-cells/src/thymefork_cells/advice/worker_selection.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/worker_selection.py
@@ -58,7 +58,7 @@
     *,
     approval_rate,
     waited_ms,
-    most,
+    max_workers,
     lateness=None,
 ):
     """Return enough workers for the wanted tasks at the expected approval rate.
@@ -74,7 +74,9 @@
     min_workers = MIN_WORKERS * widening_factor
     chosen, covered = [], 0
     for worker in _ranked(step, with_capacity, others, lateness):
-        if len(chosen) == most or (covered >= target and len(chosen) >= min_workers):
+        if len(chosen) == max_workers or (
+            covered >= target and len(chosen) >= min_workers
+        ):
             break
         chosen.append(worker)
         covered += max(1, task_capacity(worker, step.spec))
