--- a/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_image_durations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_image_durations.py
@@ -1,4 +1,4 @@
-"""What is kept of images' durations."""
+"""Learned durations by image."""
 
 from types import SimpleNamespace
 
@@ -10,8 +10,8 @@
 from thymefork_cells.state import Run, RunState, Worker
 
 
-def test_images_seen_last_are_kept_and_no_more():
-    """Callers name images as they like, such as one for each build."""
+def test_only_latest_images_are_kept():
+    """Callers may use a new image for each build."""
     durations = ImageDurations()
     for number in range(3 * MAX_IMAGES):
         durations.learn("steady", 100.0)
@@ -23,7 +23,7 @@
 
 
 def run_at_half(slowness, after_ms):
-    """Return a run that is half done after a time, on a worker of a slowness."""
+    """Return a run that reached 50 % after a time on a worker of a slowness."""
     entry = WorkerEntry(
         worker_id="w",
         machine_id="m",
@@ -51,9 +51,7 @@
 @pytest.mark.parametrize(
     ("slowness", "factor"), [(1.0, 1.0), (2.0, 1.0), (4.0, 1.0), (15.0, 15.0)]
 )
-def test_what_is_usual_on_a_slow_worker_is_no_overrun_unless_it_is_sick(
-    slowness, factor
-):
+def test_only_far_slower_workers_cause_overruns(slowness, factor):
     durations = ImageDurations()
     durations.learn("i", 1_000.0)
     run = run_at_half(slowness, 500.0 * slowness)
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_speed_announcements.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_speed_announcements.py
@@ -1,7 +1,7 @@
-"""What members of the group are told of speeds, and how soon each machine comes up.
+"""Which speeds are announced to members, and how soon each machine is included.
 
-The load: 640 machines, 24 told at a time, each 2 s. A member that came late begins as
-an owner with what it was told, so all that holds has to come up again within minutes.
+A member that joined late relies on announcements when it becomes an owner, so all
+speeds must be repeated.
 """
 
 import pytest
@@ -9,12 +9,12 @@
 from thymefork_cells.estimates import REANNOUNCE_MS, LearnedSpeed, SpeedAnnouncements
 
 MACHINES = [f"m{number:03}" for number in range(640)]
-TELL_MS = 2_000.0
-MOST = 24
+INTERVAL_MS = 2_000.0
+MAX_COUNT = 24
 
 
 class KnownSpeeds:
-    """Stand in for what is learned."""
+    """Fake of the learned speeds."""
 
     def __init__(self):
         self.by_machine = dict.fromkeys(MACHINES, 0.4)
@@ -28,58 +28,60 @@
     return KnownSpeeds()
 
 
-def tell_for(news, rounds, *, from_ms=0.0, between=lambda: None):
-    """Return all that was told in so many rounds."""
-    told = []
+def announce_for(announcements, rounds, *, from_ms=0.0, between=lambda: None):
+    """Return all announcements of a number of rounds."""
+    announced = []
     for number in range(rounds):
-        told += news.next_batch(MACHINES, MOST, from_ms + number * TELL_MS)
+        announced += announcements.next_batch(
+            MACHINES, MAX_COUNT, from_ms + number * INTERVAL_MS
+        )
         between()
-    return told
+    return announced
 
 
-def test_machines_that_move_all_the_time_hold_up_no_others(speeds):
-    news = SpeedAnnouncements(speeds=speeds)
+def test_changing_speeds_do_not_delay_other_machines(speeds):
+    announcements = SpeedAnnouncements(speeds=speeds)
 
-    def move():
+    def change_speeds():
         for machine in MACHINES[:48]:
             speeds.by_machine[machine] *= -1.0
 
-    told = tell_for(news, 60, between=move)
-    assert {row.machine for row in told} == set(MACHINES)
+    announced = announce_for(announcements, 60, between=change_speeds)
+    assert {row.machine for row in announced} == set(MACHINES)
 
 
-def test_what_still_holds_is_told_again(speeds):
-    news = SpeedAnnouncements(speeds=speeds)
-    assert len(tell_for(news, 27)) == len(MACHINES)
-    assert not tell_for(news, 20, from_ms=27 * TELL_MS)
-    again = tell_for(news, 27, from_ms=REANNOUNCE_MS)
+def test_unchanged_speeds_are_announced_again(speeds):
+    announcements = SpeedAnnouncements(speeds=speeds)
+    assert len(announce_for(announcements, 27)) == len(MACHINES)
+    assert not announce_for(announcements, 20, from_ms=27 * INTERVAL_MS)
+    again = announce_for(announcements, 27, from_ms=REANNOUNCE_MS)
     assert {row.machine for row in again} == set(MACHINES)
 
 
-def test_what_was_inherited_is_told_on(speeds):
-    news = SpeedAnnouncements(speeds=speeds)
-    news.inherit([LearnedSpeed(machine="m001", log_slowness=0.4)])
+def test_inherited_speeds_are_announced(speeds):
+    announcements = SpeedAnnouncements(speeds=speeds)
+    announcements.inherit([LearnedSpeed(machine="m001", log_slowness=0.4)])
     speeds.by_machine = dict.fromkeys(MACHINES, None) | {"m001": 0.4}
-    assert [row.machine for row in tell_for(news, 1)] == ["m001"]
+    assert [row.machine for row in announce_for(announcements, 1)] == ["m001"]
 
 
-def test_what_was_told_holds_while_a_machine_is_doubtful(speeds):
-    """A cell without work for a while learns nothing; its machines are the same."""
-    news = SpeedAnnouncements(speeds=speeds)
-    tell_for(news, 27)
+def test_last_announced_speed_is_repeated_while_uncertain(speeds):
+    """An idle cell learns nothing, but its machines stay the same."""
+    announcements = SpeedAnnouncements(speeds=speeds)
+    announce_for(announcements, 27)
     speeds.by_machine = dict.fromkeys(MACHINES, None)
-    again = tell_for(news, 27, from_ms=REANNOUNCE_MS)
+    again = announce_for(announcements, 27, from_ms=REANNOUNCE_MS)
     assert {row.log_slowness for row in again} == {0.4}
     assert len(again) == len(MACHINES)
 
 
-def test_ordinary_machines_are_no_news(speeds):
+def test_average_machines_are_not_announced(speeds):
     speeds.by_machine = dict.fromkeys(MACHINES, 0.1)
-    assert not tell_for(SpeedAnnouncements(speeds=speeds), 60)
+    assert not announce_for(SpeedAnnouncements(speeds=speeds), 60)
 
 
-def test_machines_that_are_gone_are_forgotten(speeds):
-    news = SpeedAnnouncements(speeds=speeds)
-    tell_for(news, 27)
-    news.next_batch(MACHINES[:3], MOST, 60_000.0)
-    assert len(news._announced) == 3
+def test_removed_machines_are_forgotten(speeds):
+    announcements = SpeedAnnouncements(speeds=speeds)
+    announce_for(announcements, 27)
+    announcements.next_batch(MACHINES[:3], MAX_COUNT, 60_000.0)
+    assert len(announcements._announced) == 3
--- a/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
@@ -61,11 +61,11 @@
             return workers
         return []
 
-    def workers_for_gang(self, step, suspected, workers, now_ms):
+    def workers_for_gang(self, step, crash_suspects, workers, now_ms):
         """Return the workers for a gang with crash suspects, the best first."""
-        if not all(self.can_start(task, now_ms) for task in suspected):
+        if not all(self.can_start(task, now_ms) for task in crash_suspects):
             return []
-        usable = self.workers_for(step, suspected, workers, now_ms)
+        usable = self.workers_for(step, crash_suspects, workers, now_ms)
         return sorted(usable, key=partial(self.rate, step))
 
     @staticmethod
--- a/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
@@ -123,14 +123,16 @@
         if not waiting:
             return
         permitted = self._permitted_workers(step, workers, now_ms)
-        unsuspected, suspected = [], []
+        regular, crash_suspects = [], []
         for task in waiting:
             is_crash_suspect = self._is_crash_suspect(task, now_ms)
-            (suspected if is_crash_suspect else unsuspected).append(task)
-        starts = self._place_unsuspected(step, unsuspected, workers, permitted, now_ms)
-        unplaced = len(unsuspected) - len(starts)
-        if suspected:
-            starts += self._place_suspected(step, suspected, permitted, now_ms)
+            (crash_suspects if is_crash_suspect else regular).append(task)
+        starts = self._place_regular(step, regular, workers, permitted, now_ms)
+        unplaced = len(regular) - len(starts)
+        if crash_suspects:
+            starts += self._place_crash_suspects(
+                step, crash_suspects, permitted, now_ms
+            )
         self._log.log_starts(step, starts, len(waiting), now_ms)
         if unplaced and self._preemptor.make_room(step, permitted, unplaced, now_ms):
             self._reservations.review_soon()  # reserve the freed capacity
@@ -140,7 +142,7 @@
             return False  # fast path for most tasks
         return self._crash_isolation.is_crash_suspect(task, now_ms)
 
-    def _place_unsuspected(self, step, tasks, workers, permitted, now_ms):
+    def _place_regular(self, step, tasks, workers, permitted, now_ms):
         """Start tasks that are no crash suspects; return (task, worker) pairs."""
         spec = step.spec
         usable = [worker for worker in permitted if worker.has_capacity(spec)]
@@ -174,7 +176,7 @@
         should_explore = self._lateness_risk.is_high(queue_name)
         return ExplorationScorer(speeds=self._speeds) if should_explore else None
 
-    def _place_suspected(self, step, tasks, permitted, now_ms):
+    def _place_crash_suspects(self, step, tasks, permitted, now_ms):
         """Start crash suspects with care; return (task, worker) pairs."""
         ready = [
             task for task in tasks if self._crash_isolation.can_start(task, now_ms)
@@ -222,15 +224,15 @@
     def _place_gang(self, step, workers, now_ms):
         run_id = max(task.run_count for task in step.tasks) + 1
         permitted = self._permitted_workers(step, workers, now_ms)
-        suspected = [
+        crash_suspects = [
             task for task in step.tasks if self._is_crash_suspect(task, now_ms)
         ]
-        if suspected:
+        if crash_suspects:
             permitted = self._crash_isolation.workers_for_gang(
-                step, suspected, permitted, now_ms
+                step, crash_suspects, permitted, now_ms
             )
         scorer = self._speed_scorer(step, now_ms)
-        if scorer is not None and not suspected:
+        if scorer is not None and not crash_suspects:
             # A gang is as slow as its slowest member: choose members of similar speed.
             permitted = sorted(permitted, key=scorer.rate)
         chosen = workers_for_gang(step, permitted)
@@ -240,8 +242,8 @@
         gang_slowness = max(worker.slowness for worker in chosen)
         for task, worker in starts:
             self._add_run(task, worker, run_id, gang_slowness=gang_slowness)
-            for suspect in suspected:
-                self._crash_isolation.isolate(suspect, worker, now_ms)
+            for crash_suspect in crash_suspects:
+                self._crash_isolation.isolate(crash_suspect, worker, now_ms)
         self._log.log_starts(step, starts, len(starts), now_ms)
 
     def _add_run(self, task, worker, run_id, *, gang_slowness=0.0):
--- a/packages/thymefork-cells/src/thymefork_cells/placement/preemptor.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/preemptor.py
@@ -91,7 +91,7 @@
         return sorted(runs, key=lambda run: -run.step.reserved_cpu_milli)
 
     def _can_be_preempted(self, run, needs_ms, now_ms):
-        """Return whether preemption does not make a run's job miss its objective."""
+        """Return whether a run's job stays in time if preempted, or is late anyway."""
         left_ms = self._durations.left_ms(run, now_ms)
         if left_ms < self._context.bounds.stop_timeout_ms:
             return False  # it ends as soon without being stopped
--- a/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_penalty_order.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_penalty_order.py
@@ -1,8 +1,7 @@
-"""What outweighs what where workers are uneven, as callers need it.
+"""Order of the placement penalties on heterogeneous workers.
 
-A task that disturbs users, or one on a worker that is likely bad, is worse than a late
-one; a late one is worse than one in another hall; a step's tasks keep together before
-fast room is kept; and nothing is drawn to a machine that is far slower for good.
+Interference and repeated failures outweigh lateness, lateness outweighs another hall,
+and the hall outweighs the use of fast workers.
 """
 
 from types import SimpleNamespace
@@ -15,40 +14,44 @@
 from thymefork_cells.specs import StepSpec
 from thymefork_cells.state.worker_health import FAILURES_TO_QUARANTINE
 
-from .test_speed_scorer import FAST, SLOW, fit, worker
+from .test_speed_scorer import FAST, SLOW, make_scorer, worker
 
 SLACK_MS, TIGHT_MS, LATE_MS = 60_000.0, 1_400.0, -1.0
 SPEC = StepSpec(count=1, cpu_milli=1_000, memory_mb=100, estimated_ms=850)
 
 
 def score(spec, worker, left_ms, *, is_most_urgent=False):
-    return fit_score(spec, worker, fit(left_ms, is_most_urgent=is_most_urgent))
+    return fit_score(spec, worker, make_scorer(left_ms, is_most_urgent=is_most_urgent))
 
 
 def failed(slowness, failures):
-    found = worker(2, slowness)
-    found.health.failures_in_row = failures
-    return found
+    failed_worker = worker(2, slowness)
+    failed_worker.health.failures_in_row = failures
+    return failed_worker
 
 
 @pytest.mark.parametrize("is_most_urgent", [True, False])
 @pytest.mark.parametrize("left_ms", [SLACK_MS, TIGHT_MS, LATE_MS])
-@pytest.mark.parametrize(("sound", "bad"), [(FAST, SLOW), (SLOW, FAST)])
-def test_a_worker_that_failed_repeatedly_comes_last(
-    sound, bad, left_ms, is_most_urgent
+@pytest.mark.parametrize(("healthy", "failing"), [(FAST, SLOW), (SLOW, FAST)])
+def test_worker_with_repeated_failures_is_last(
+    healthy, failing, left_ms, is_most_urgent
 ):
-    bad_one = failed(bad, FAILURES_TO_QUARANTINE)
-    sound_score = score(SPEC, worker(1, sound), left_ms, is_most_urgent=is_most_urgent)
-    assert sound_score < score(SPEC, bad_one, left_ms, is_most_urgent=is_most_urgent)
+    failing_worker = failed(failing, FAILURES_TO_QUARANTINE)
+    healthy_score = score(
+        SPEC, worker(1, healthy), left_ms, is_most_urgent=is_most_urgent
+    )
+    assert healthy_score < score(
+        SPEC, failing_worker, left_ms, is_most_urgent=is_most_urgent
+    )
 
 
-def test_one_failure_outweighs_fast_room_that_is_kept():
-    sound_score = score(SPEC, worker(1, FAST), SLACK_MS)
-    assert sound_score < score(SPEC, failed(SLOW, 1), SLACK_MS)
+def test_single_failure_outweighs_use_of_fast_worker():
+    healthy_score = score(SPEC, worker(1, FAST), SLACK_MS)
+    assert healthy_score < score(SPEC, failed(SLOW, 1), SLACK_MS)
 
 
-def test_one_failure_says_too_little_for_a_task_to_be_late():
-    """Tasks fail by their own fault; a fast worker is not lost to urgent ones by it."""
+def test_lateness_outweighs_single_failure():
+    """A single failure may be the task's own fault."""
     late_score = score(SPEC, worker(1, SLOW), TIGHT_MS)
     assert score(SPEC, failed(FAST, 1), TIGHT_MS) < late_score
 
@@ -56,7 +59,7 @@
 @pytest.mark.parametrize("is_most_urgent", [True, False])
 @pytest.mark.parametrize("left_ms", [SLACK_MS, TIGHT_MS, LATE_MS])
 @pytest.mark.parametrize("quiet", [SLOW, FAST, 15.0])
-def test_users_are_not_disturbed_for_any_speed(quiet, left_ms, is_most_urgent):
+def test_interference_outweighs_any_speed(quiet, left_ms, is_most_urgent):
     spec = evolve(SPEC, target_tail_ms=50)
     busy = worker(2, FAST if quiet != FAST else SLOW)
     filling = evolve(SPEC, fills_idle_cpu=True)
@@ -65,46 +68,46 @@
     assert quiet_score < score(spec, busy, left_ms, is_most_urgent=is_most_urgent)
 
 
-def test_a_step_keeps_together_before_it_leaves_fast_room():
-    rate = fit(SLACK_MS, is_most_urgent=False).rate
+def test_same_hall_outweighs_use_of_fast_worker():
+    rate = make_scorer(SLACK_MS, is_most_urgent=False).rate
     assert rate(worker(1, FAST)) < rate(worker(2, SLOW)) + OTHER_HALL_PENALTY
 
 
-def test_a_step_leaves_its_hall_to_be_in_time():
-    rate = fit(TIGHT_MS, is_most_urgent=False).rate
+def test_lateness_outweighs_same_hall():
+    rate = make_scorer(TIGHT_MS, is_most_urgent=False).rate
     assert rate(worker(1, FAST)) + OTHER_HALL_PENALTY < rate(worker(2, SLOW))
 
 
 @pytest.mark.parametrize("slowness", [5.0, 15.0, 100.0])
 @pytest.mark.parametrize("left_ms", [SLACK_MS, TIGHT_MS, LATE_MS])
 @pytest.mark.parametrize("is_most_urgent", [True, False])
-def test_a_machine_that_is_far_slower_attracts_nothing(
-    slowness, left_ms, is_most_urgent
-):
-    """It is taken after sound ones in any hall."""
-    sick = score(SPEC, worker(0, slowness), left_ms, is_most_urgent=is_most_urgent)
-    for sound in (SLOW, 1.0, FAST):
-        sound_score = score(
-            SPEC, worker(1, sound), left_ms, is_most_urgent=is_most_urgent
+def test_far_slower_worker_is_last(slowness, left_ms, is_most_urgent):
+    """Healthy workers come first in any hall."""
+    far_slower_score = score(
+        SPEC, worker(0, slowness), left_ms, is_most_urgent=is_most_urgent
+    )
+    for healthy in (SLOW, 1.0, FAST):
+        healthy_score = score(
+            SPEC, worker(1, healthy), left_ms, is_most_urgent=is_most_urgent
         )
-        assert sound_score + OTHER_HALL_PENALTY < sick
+        assert healthy_score + OTHER_HALL_PENALTY < far_slower_score
 
 
-def test_a_suspected_task_is_tried_on_a_sound_worker_first():
+def test_crash_suspect_prefers_healthy_worker():
     step = SimpleNamespace(spec=SPEC, job=None)
     assert CrashIsolation.rate(step, worker(1, SLOW)) < CrashIsolation.rate(
         step, worker(0, 15.0)
     )
 
 
-def test_a_gang_takes_no_machine_that_is_far_slower_before_others():
-    rate = fit(SLACK_MS, is_most_urgent=False).rate
+def test_gang_uses_far_slower_worker_last():
+    rate = make_scorer(SLACK_MS, is_most_urgent=False).rate
     assert max(rate(worker(1, s)) for s in (SLOW, 1.0, FAST)) < rate(worker(0, 15.0))
 
 
-def test_data_on_another_rack_counts_as_the_time_that_it_takes():
-    """A slow worker that is in time with the data near may be too slow without."""
+def test_remote_data_counts_as_longer_duration():
+    """A slow worker may be in time only with the data on its rack."""
     spec = evolve(SPEC, preferred_rack="r")
-    near = worker(1, FAST)
-    near.entry = evolve(near.entry, rack="r")
-    assert score(spec, near, 2_600.0) < score(spec, worker(2, SLOW), 2_600.0)
+    same_rack = worker(1, FAST)
+    same_rack.entry = evolve(same_rack.entry, rack="r")
+    assert score(spec, same_rack, 2_600.0) < score(spec, worker(2, SLOW), 2_600.0)
--- a/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_scorer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_scorer.py
@@ -1,4 +1,4 @@
-"""Ratings by speed, and who is asked about and chosen by them."""
+"""Scores by worker speed, and the selection of workers for advice."""
 
 import random
 from types import SimpleNamespace
@@ -30,33 +30,31 @@
     return Worker(entry=entry, slowness=slowness)
 
 
-def fit(left_ms, *, is_most_urgent=True):
+def make_scorer(left_ms, *, is_most_urgent=True):
     lateness = LatenessProbability(usual_ms=USUAL_MS, left_ms=left_ms)
     return SpeedScorer(lateness=lateness, is_most_urgent=is_most_urgent)
 
 
 @pytest.mark.parametrize("is_most_urgent", [True, False])
-def test_what_only_a_fast_worker_ends_in_time_goes_there_whatever_its_hall(
+def test_task_in_time_only_on_fast_worker_goes_there(
     is_most_urgent,
 ):
-    rate = fit(1_400.0, is_most_urgent=is_most_urgent).rate
+    rate = make_scorer(1_400.0, is_most_urgent=is_most_urgent).rate
     assert rate(worker(0, SLOW)) > rate(worker(1, FAST)) + OTHER_HALL_PENALTY
 
 
 @pytest.mark.parametrize("left_ms", [10_000.0, -1.0])
 @pytest.mark.parametrize("is_most_urgent", [True, False])
-def test_what_is_in_time_or_late_everywhere_leaves_fast_workers(
-    left_ms, is_most_urgent
-):
-    rate = fit(left_ms, is_most_urgent=is_most_urgent).rate
+def test_task_in_time_or_late_everywhere_avoids_fast_workers(left_ms, is_most_urgent):
+    rate = make_scorer(left_ms, is_most_urgent=is_most_urgent).rate
     assert rate(worker(0, SLOW)) < rate(worker(1, FAST))
 
 
-def test_metric_labels_tell_what_a_start_means_to_fast_room():
+def test_metric_labels_by_worker_speed():
     workers = [worker(0, SLOW), worker(1, FAST)]
-    tight = fit(1_400.0).metric_labels(workers)
+    tight = make_scorer(1_400.0).metric_labels(workers)
     assert tight == {SLOW: "tight_on_slow", FAST: "tight_on_fast"}
-    slack = fit(10_000.0).metric_labels(workers)
+    slack = make_scorer(10_000.0).metric_labels(workers)
     assert slack == {SLOW: "slack_on_slow", FAST: "slack_on_fast"}
 
 
@@ -81,7 +79,7 @@
     )
 
 
-def test_the_policy_is_asked_about_workers_that_suit():
-    """With permission for slow workers only, there would be nothing to choose."""
+def test_advice_is_requested_for_suitable_workers():
+    """Guards against tickets for unsuitable workers only."""
     assert {chosen.slowness for chosen in choose(1_400.0)} == {FAST}
     assert {chosen.slowness for chosen in choose(10_000.0)} == {SLOW}
--- a/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_worker_ranking.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_worker_ranking.py
@@ -1,4 +1,4 @@
-"""The ranking of workers against a scan of all of them for each task."""
+"""Worker ranking compared with a full scan for each task."""
 
 import random
 from functools import partial
@@ -17,7 +17,7 @@
 
 
 def best_by_scan(spec, task, workers, tasks_per_worker, hall):
-    """Return the best worker by rating all of them: the reference."""
+    """Return the best worker by scoring all of them, as a reference."""
     best, best_score = None, None
     for worker in workers:
         if not worker.has_capacity(spec) or worker.health.awaits_probe:
@@ -90,11 +90,11 @@
         if rng.random() < 0.2:
             task.avoided_workers.add(rng.choice(workers).worker_id)
         if rng.random() < 0.2:
-            give(task, rng.choice(workers))
+            assign(task, rng.choice(workers))
     return tasks
 
 
-def give(task, worker):
+def assign(task, worker):
     task.run_count += 1
     run = Run(task=task, run_id=task.run_count, worker=worker, state=RunState.INTENDED)
     task.runs.append(run)
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("seed", range(300))
-def test_the_ranking_chooses_as_a_scan_of_all_workers_does(seed):
+def test_ranking_agrees_with_full_scan(seed):
     rng = random.Random(seed)
     workers, spec, hall = make_workers(rng), make_spec(rng), rng.choice(HALLS)
     tasks = make_tasks(rng, spec, workers)
@@ -122,7 +122,7 @@
         assert ranking.best_for(task) is expected
         if expected is None:
             continue
-        give(task, expected)
+        assign(task, expected)
         ranking.on_assigned()
         if tasks_per_worker is not None:
             tasks_per_worker[expected.worker_id] = (
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_at_scale.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_at_scale.py
@@ -1,10 +1,6 @@
-"""Many short steps at once under a policy, on more workers than one call may name.
+"""Selection of workers for advice in a cluster with more workers than a call may name.
 
-The pattern is desk lookups on a large deployment: 25 jobs a second of six tasks of 1 s,
-each on a quarter of a worker, 270 workers in five halls, a service that takes 30 ms and
-0.4 ms more for each worker that it is asked about, and a policy that allows 7 in 10.
-That is a third of what the workers bear, so no step has cause to wait for room. Asked
-about the first hundred workers always, all steps crowded there beside 170 idle ones.
+Guards against steps that crowd on the same workers or wait beside idle ones.
 """
 
 import pytest
@@ -29,7 +25,7 @@
 
 @pytest.fixture
 def loaded(make_harness):
-    """Return a deployment that three seconds of lookups were handed in to."""
+    """Return a cluster at a third of its capacity after three seconds of jobs."""
     harness = make_harness(
         workers=WORKERS, cpu_milli=16_000, advice=POLICY, hall=hall_of
     )
@@ -41,7 +37,7 @@
     return harness
 
 
-def test_no_step_waits_for_room_beside_idle_workers(loaded):
+def test_no_step_waits_beside_idle_workers(loaded):
     waits_ms = [
         note.fields["waited_ms"] for note in loaded.notes if note.event == "tasks_start"
     ]
@@ -49,14 +45,14 @@
     assert max(waits_ms) < 200
 
 
-def test_a_call_names_no_more_workers_than_the_step_needs(loaded):
+def test_calls_name_few_workers(loaded):
     asked = [len(worker_ids) for _, worker_ids in loaded.asked]
     assert len(asked) <= 2 * JOBS
     assert max(asked) <= 20
 
 
-def test_steps_spread_over_all_workers(loaded):
-    """Among any hundred workers the policy allows 70."""
+def test_steps_spread_over_many_workers(loaded):
+    """The policy allows 70 of any hundred workers."""
     assert sum(bool(worker.starts) for worker in loaded.workers.values()) > 90
 
 
@@ -97,20 +93,20 @@
     )
 
 
-def test_a_step_asks_about_the_hall_with_the_most_room_first():
+def test_hall_with_most_capacity_comes_first():
     workers = workers_of(*[4_000] * 20, *[16_000] * 20, hall=lambda n: f"h{n // 20}")
     chosen = choose(step_of(), workers, 6, approval_rate=0.7, max_workers=100)
     assert {worker.entry.hall for worker in chosen} == {"h1"}
 
 
-@pytest.mark.parametrize("approval_rate, least", [(1.0, 8), (0.35, 9), (0.1, 30)])
-def test_a_stricter_policy_is_asked_about_more_workers(approval_rate, least):
+@pytest.mark.parametrize("approval_rate, min_count", [(1.0, 8), (0.35, 9), (0.1, 30)])
+def test_lower_approval_rate_asks_about_more_workers(approval_rate, min_count):
     workers = workers_of(*[16_000] * 270)
     chosen = choose(step_of(), workers, 6, approval_rate=approval_rate, max_workers=100)
-    assert least <= len(chosen) <= 2 * least
+    assert min_count <= len(chosen) <= 2 * min_count
 
 
-def test_after_denials_twice_as_many_are_asked_about_each_time():
+def test_number_of_workers_doubles_with_each_denial():
     workers = workers_of(*[16_000] * 270)
     step = step_of()
     asked = []
@@ -121,7 +117,7 @@
     assert asked[-1] == 100
 
 
-def test_steps_that_ask_at_once_ask_about_different_workers():
+def test_concurrent_steps_ask_about_different_workers():
     workers = workers_of(*[16_000] * 270)
     first, second = (
         set(
@@ -134,7 +130,7 @@
     assert len(first & second) < len(first) / 2
 
 
-def test_the_share_that_a_policy_allows_is_learned():
+def test_approval_rate_is_learned():
     shares = ApprovalRates()
     assert shares.rate_of("q") == 0.5
     for _ in range(60):
@@ -146,7 +142,7 @@
     assert shares.rate_of("another") == 0.5
 
 
-def test_a_step_whose_workers_filled_up_asks_about_others(make_harness):
+def test_step_with_full_workers_asks_about_others(make_harness):
     harness = make_harness(workers=40, cpu_milli=4_000, advice=POLICY)
     harness.submit("00000000000000aa", job_spec(STEP | {"count": 1}))
     harness.run(10)
@@ -160,19 +156,15 @@
     assert worker_id not in first
 
 
-def test_a_step_asks_about_full_workers_only_beside_those_with_room():
+def test_workers_with_capacity_are_always_included():
     workers = workers_of(*[16_000] * 3, *[1_000] * 40)
     chosen = choose(step_of(), workers, 6, approval_rate=0.5, max_workers=100)
     assert set(map(id, workers[:3])) <= set(map(id, chosen))
     assert 8 <= len(chosen) <= 24
 
 
-def test_urgent_work_finds_room_to_be_made_on_a_full_deployment(make_harness):
-    """From cab-bogota-large, trouble-2: lookups waited 1.3 s with a hall cut off.
-
-    They had tickets for the few workers with a little room, and less urgent work that
-    could make way ran on all the others.
-    """
+def test_urgent_step_preempts_on_full_cluster(make_harness):
+    """Guards against tickets only for workers that have nothing to preempt."""
     harness = make_harness(workers=40, cpu_milli=16_000, advice=POLICY)
     for worker in harness.workers.values():
         worker.work_ms = 20_000.0
@@ -192,8 +184,8 @@
     assert sum(bool(starts) for starts in started) == 12
 
 
-def start_lasting(harness):
-    """Run four lasting tasks, one a worker; let a new owner go on with them."""
+def start_long_running(harness):
+    """Start four long-running tasks, one per worker; let a new owner take over."""
     step = {"count": 4, "cpu_milli": 2_000, "most_per_worker": 1, "long_running": True}
     harness.submit("00000000000000aa", job_spec(step))
     harness.run(1_500)
@@ -204,27 +196,23 @@
     }
 
 
-def test_a_task_finds_another_worker_beside_tickets_it_cannot_use(make_harness):
-    """From cab-bogota-large, scale-2: a lasting task waited 4.5 s beside idle workers.
-
-    The one worker in eight that was allowed ran another task of the step, which keeps
-    to one a worker; its ticket counted as room until it lapsed.
-    """
+def test_unusable_ticket_does_not_block_a_task(make_harness):
+    """Guards against counting a ticket for a worker that `most_per_worker` excludes."""
     harness = make_harness(workers=60, cpu_milli=16_000, advice=POLICY)
     for worker in harness.workers.values():
         worker.work_ms = 60_000.0
-    running = start_lasting(harness)
+    running = start_long_running(harness)
     assert len(running) == 4
     asked_before = len(harness.asked)
-    at_work = {worker.worker_id for worker in running.values()}
+    busy_ids = {worker.worker_id for worker in running.values()}
 
     def allowed(step, worker_id):
         first = harness.asked[asked_before][1]
-        return worker_id in at_work or worker_id not in first
+        return worker_id in busy_ids or worker_id not in first
 
     harness.allowed = allowed
     (task, worker), *_ = running.items()
-    at_work.discard(worker.worker_id)
+    busy_ids.discard(worker.worker_id)
     ((key),) = [key for key in worker.running if key[0] == task]
     began_ms = harness.now
     worker._end(key, "failed")
@@ -233,22 +221,24 @@
     assert starts and starts[0] - began_ms < 1_300
 
 
-def test_a_failed_task_is_not_given_back_while_others_may_be_asked(make_harness):
-    """With few tickets the one worker left was the one that had failed the task."""
+def test_failed_task_is_retried_on_another_worker(make_harness):
+    """Guards against a retry on the failed worker for lack of other tickets."""
     harness = make_harness(workers=60, cpu_milli=4_000, advice=POLICY, max_attempts=2)
     harness.submit("00000000000000aa", job_spec(STEP | {"count": 1}))
     harness.run(10)
     (_, first), *_ = harness.asked
-    bad = first[0]
-    harness.workers[bad].fails_all = True
-    harness.allowed = lambda step, worker_id: worker_id == bad or worker_id not in first
+    failing = first[0]
+    harness.workers[failing].fails_all = True
+    harness.allowed = lambda step, worker_id: (
+        worker_id == failing or worker_id not in first
+    )
     harness.run(3_000)
     starts = sorted(harness.starts_of("00000000000000aa.0.0.0"), key=lambda row: row[1])
-    assert [worker_id == bad for worker_id, _, _ in starts] == [True, False]
+    assert [worker_id == failing for worker_id, _, _ in starts] == [True, False]
 
 
-def test_a_step_that_waits_on_asks_about_more_workers_each_time():
-    """A policy that allows few, and none that helps, must not take a call for each."""
+def test_number_of_workers_grows_with_the_wait():
+    """Guards against many small calls under a strict policy."""
     workers = workers_of(*[16_000] * 270)
     step = step_of()
     asked = [
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_backlog.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_backlog.py
@@ -1,10 +1,6 @@
-"""More steps ask a policy than the instances have time for.
+"""Advice calls that queue for busy advice instances.
 
-The pattern: wide merges under a policy that allows a third of the workers and takes
-half a second and 7 ms more for each worker that it is asked about; after a loss of
-instances, or in a burst, calls wait for seconds. Chosen when they were queued, the
-workers they named had no room any more once they were made, and steps that could
-still be in time waited behind others.
+Guards against queued calls that name workers which are full once the call is made.
 """
 
 from statistics import fmean
@@ -16,12 +12,12 @@
 from .harness import job_spec
 
 POLICY = {"decision_ms": 500.0, "per_worker_ms": 7.0, "valid_ms": 2_500.0}
-MERGE = {"count": 10, "cpu_milli": 9_000, "estimated_ms": 3_000}
+WIDE_STEP = {"count": 10, "cpu_milli": 9_000, "estimated_ms": 3_000}
 WORKERS = 60
 
 
-def load(make_harness, jobs=60, advisers=4):
-    """Hand in merges at once and return the harness once the last has ended."""
+def run_backlog(make_harness, jobs=60, advisers=4):
+    """Submit wide jobs and return the harness after the last has ended."""
     harness = make_harness(
         workers=WORKERS, cpu_milli=32_000, advice=POLICY, advisers=advisers
     )
@@ -29,7 +25,7 @@
     for worker in harness.workers.values():
         worker.work_ms = 3_000
     for number in range(jobs):
-        harness.submit(f"{number:016x}", job_spec(MERGE))
+        harness.submit(f"{number:016x}", job_spec(WIDE_STEP))
         harness.run(200)
     harness.run(60_000)
     return harness
@@ -45,15 +41,14 @@
     ]
 
 
-def test_calls_are_made_for_workers_that_have_room_then(make_harness):
-    """With its workers chosen as a call was queued, the mean was 4,981 ms."""
-    harness = load(make_harness)
+def test_calls_name_workers_with_current_capacity(make_harness):
+    harness = run_backlog(make_harness)
     states = {str(job.state) for job in harness.cell.context.jobs.values()}
     assert states == {"succeeded"}
     assert fmean(totals_ms(harness)) < 4_300
 
 
-def test_no_call_waits_for_an_instance_with_its_workers_chosen(make_harness):
+def test_calls_do_not_queue_at_instances(make_harness):
     harness = make_harness(workers=8, advice=POLICY, advisers=1)
     for number in range(6):
         harness.submit(f"{number:016x}", job_spec({"count": 2, "cpu_milli": 1_000}))
@@ -62,7 +57,7 @@
     assert harness.advisers.count == 1
 
 
-def test_a_step_of_the_last_queue_is_asked_for_in_the_end(make_harness):
+def test_least_urgent_queue_gets_advice_eventually(make_harness):
     harness = make_harness(workers=8, advice=POLICY, advisers=1)
     harness.configuration = with_policy_for_all(harness.configuration)
     harness.cell.on_configuration(harness.configuration)
@@ -79,13 +74,13 @@
     return evolve(configuration, version=2, queues=queues)
 
 
-def test_short_calls_have_instances_to_themselves():
+def test_short_calls_have_reserved_slots():
     slots = AdviceSlots(any_call=2, long_call=1)
     taken = [slots.take(cost_ms) for cost_ms in (900.0, 900.0, 30.0, 30.0)]
     assert taken == [True, False, True, False]
 
 
-def test_short_calls_leave_no_more_than_there_is_for_long_ones():
+def test_short_calls_use_slots_of_long_calls():
     slots = AdviceSlots(any_call=2, long_call=2)
     taken = [slots.take(cost_ms) for cost_ms in (30.0, 900.0, 900.0)]
     assert taken == [True, True, False]
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_capacity_changes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_capacity_changes.py
@@ -1,4 +1,4 @@
-"""Workers whose room shrinks and grows while they run tasks."""
+"""Workers whose capacity shrinks and grows while they run tasks."""
 
 import random
 
@@ -24,7 +24,7 @@
         harness.submit(f"{number:016x}", job_spec({"count": 1, **step}))
 
 
-def test_a_shrunk_worker_takes_no_more_than_it_has(make_harness):
+def test_shrunk_worker_is_not_overcommitted(make_harness):
     harness = make_harness(workers=2)
     for worker in harness.workers.values():
         worker.work_ms = 3_000.0
@@ -38,7 +38,7 @@
     assert all(harness.cpu_used(w) <= 2_000 for w in harness.workers.values())
 
 
-def test_a_worker_that_grows_again_is_used_at_once(make_harness):
+def test_grown_worker_is_used_at_once(make_harness):
     harness = make_harness(workers=2)
     resize_all(harness, 1_000)
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 4_000}))
@@ -49,7 +49,7 @@
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
-def test_a_worker_without_room_is_no_worker_to_use(make_harness):
+def test_worker_without_capacity_gets_no_tasks(make_harness):
     harness = make_harness(workers=2)
     resize_all(harness, 0)
     submit_many(harness, 3, cpu_milli=500)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("state", [RunState.INTENDED, RunState.SENT, RunState.LIVE])
-def test_runs_of_each_state_count_after_a_shrink(make_harness, state):
+def test_runs_of_each_state_count_after_shrinking(make_harness, state):
     harness = make_harness(workers=1)
     harness.workers["w0"].work_ms = 5_000.0
     harness.is_start_answer_lost = lambda effect: state is RunState.SENT
@@ -77,7 +77,7 @@
     assert all(job.state is JobState.SUCCEEDED for job in _jobs(harness))
 
 
-def test_an_intended_start_is_dropped_where_it_would_not_fit_any_more(make_harness):
+def test_intended_start_is_dropped_if_it_no_longer_fits(make_harness):
     harness = make_harness(workers=1)
     submit_many(harness, 8, cpu_milli=1_000)
     while not harness.runs_of("w0"):
@@ -88,7 +88,7 @@
     assert len(harness.running()) == 3
 
 
-def test_what_is_being_stopped_still_counts(make_harness):
+def test_stopping_runs_still_count(make_harness):
     harness = make_harness(workers=1)
     harness.workers["w0"].work_ms = 30_000.0
     harness.workers["w0"].ignored_stops = 40  # answered, and not carried out
@@ -101,7 +101,7 @@
     assert not harness.violations
 
 
-def test_a_predecessors_runs_count_on_a_worker_that_shrank(make_harness):
+def test_runs_of_previous_owner_count_after_shrinking(make_harness):
     harness = make_harness(workers=2)
     for worker in harness.workers.values():
         worker.work_ms = 6_000.0
@@ -117,7 +117,7 @@
     assert all(job.state is JobState.SUCCEEDED for job in _jobs(harness))
 
 
-def test_a_gang_does_not_start_on_less_than_all_its_room(make_harness):
+def test_gang_waits_until_all_tasks_fit(make_harness):
     harness = make_harness(workers=3)
     harness.submit(JOB, job_spec({"count": 6, "cpu_milli": 4_000, "gang": True}))
     while not harness.cell.context.jobs[JOB].runs:
@@ -131,7 +131,7 @@
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
-def test_a_task_goes_where_it_fits_once_its_worker_has_shrunk(make_harness):
+def test_task_runs_on_worker_that_still_fits(make_harness):
     harness = make_harness(workers=2)
     harness.resize("w0", 2_000)
     harness.submit(JOB, job_spec({"count": 3, "cpu_milli": 5_000}))
@@ -140,7 +140,7 @@
     assert {worker for worker, _, _ in harness.starts_of(f"{JOB}.0.0.0")} == {"w1"}
 
 
-def test_a_change_of_room_is_told(make_harness):
+def test_capacity_change_is_logged(make_harness):
     harness = make_harness(workers=1)
     harness.workers["w0"].work_ms = 5_000.0
     submit_many(harness, 8, cpu_milli=1_000)
@@ -153,8 +153,8 @@
     assert line["held_cpu_milli"] == 8_000
 
 
-def test_a_worker_whose_entry_has_lapsed_takes_nothing_new(make_harness):
-    """From the soak: a worker shrank in an outage and was filled by its old entry."""
+def test_worker_with_lapsed_entry_gets_no_tasks(make_harness):
+    """Guards against overcommitting a worker by an outdated entry."""
     harness = make_harness(workers=2)
     harness.workers["w0"].work_ms = 3_000.0
     entries = harness.entries
@@ -171,8 +171,8 @@
     assert harness.workers["w0"].running
 
 
-def test_nothing_starts_by_a_list_that_was_read_too_long_ago(harness):
-    """From the soak: work went out by the list from before an outage, or a pause."""
+def test_nothing_starts_by_stale_worker_list(harness):
+    """Guards against starts by a worker list from before an outage or a pause."""
     harness.cell.context.worker_list_as_of_ms = harness.now
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(2_000)
@@ -186,7 +186,7 @@
     assert harness.job(NEXT).visible_state is JobState.SUCCEEDED
 
 
-def test_a_start_decided_before_a_pause_is_decided_again_after_it(harness):
+def test_start_from_before_a_pause_is_decided_again(harness):
     harness.cell.context.worker_list_as_of_ms = harness.now
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(8)
@@ -198,8 +198,8 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_rooms_that_change_with_each_heartbeat(seed):
-    """Flapping rooms among crashes, unanswered starts and new owners."""
+def test_jobs_succeed_while_capacity_keeps_changing(seed):
+    """Changing capacity combined with unanswered starts and takeovers."""
     rng = random.Random(seed)
     harness = Harness(workers=6, hall=lambda number: f"hall-{number % 3}")
     harness.take_over()
@@ -231,14 +231,11 @@
     return harness.cell.context.jobs.values()
 
 
-def test_an_intent_of_an_outage_is_not_sent_where_the_entry_has_lapsed(make_harness):
-    """From the soak, seed 7017 with rolls: LIMIT, a start on a worker that had shrunk.
+def test_start_is_not_sent_to_worker_with_lapsed_entry(make_harness):
+    """Guards against sending a start decided in a store outage.
 
-    The start was decided 2.6 s into an outage, by a list that was young enough. The
-    store came back; the list was read anew and said that the worker's entry had lapsed,
-    so that its room was not known; 50 ms later the append was answered, and the start
-    left all the same (`workers_may_return` 50 ms before `ends_stored_late`). The worker
-    had no room left; its entry came 0.8 s after.
+    The worker's entry lapses before the append is answered, so that its capacity is
+    unknown.
     """
     harness = make_harness(workers=2)
     first = {"count": 1, "cpu_milli": 500, "estimated_ms": 800}
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
@@ -1,4 +1,4 @@
-"""Tasks that merely stood beside one that crashes workers, and where suspects run."""
+"""Isolation of crash suspects, and clearing of tasks that are not to blame."""
 
 import pytest
 
@@ -27,13 +27,13 @@
 
 
 def losses(harness, job_id=INNOCENT):
-    """Return the losses of a job's tasks, the ones without any left out."""
+    """Return the worker losses of a job's tasks that have any."""
     steps = harness.job(job_id).steps
     return [task.losses for step in steps for task in step.tasks if task.losses]
 
 
 def crash_where(harness, job_id):
-    """Crash a worker that runs something of a job."""
+    """Crash a worker that runs a task of a job."""
     worker = next(
         worker
         for worker in harness.workers.values()
@@ -46,48 +46,56 @@
     return [worker for worker in harness.workers.values() if not worker.is_unreachable]
 
 
-# Those that stood beside -------------------------------------------------------
+# Tasks beside crashing ones -------------------------------------------------------
 
 
 @pytest.mark.parametrize("crashing", [1, 3, 6])
-def test_jobs_beside_crashing_ones_all_end_well(make_harness, crashing):
+def test_jobs_beside_crashing_ones_succeed(make_harness, crashing):
     harness = make_harness(workers=18, **THREE_HALLS)
-    bad = [f"{number:016x}" for number in range(1, crashing + 1)]
-    good = [f"{number:016x}" for number in range(100, 130)]
-    harness.crashes_after_ms = crash_by(*(f"{job}.0.0.0" for job in bad))
-    for number, job in enumerate(good):
+    crashing_jobs = [f"{number:016x}" for number in range(1, crashing + 1)]
+    other_jobs = [f"{number:016x}" for number in range(100, 130)]
+    harness.crashes_after_ms = crash_by(*(f"{job}.0.0.0" for job in crashing_jobs))
+    for number, job in enumerate(other_jobs):
         harness.submit(job, job_spec({"count": 6, "cpu_milli": 500}))
         if number < crashing:
-            harness.submit(bad[number], job_spec({"count": 3, "cpu_milli": 500}))
+            harness.submit(
+                crashing_jobs[number], job_spec({"count": 3, "cpu_milli": 500})
+            )
         harness.run(200)
     harness.run(40_000)
-    assert {harness.job(job).visible_state for job in good} == {JobState.SUCCEEDED}
-    assert {harness.job(job).visible_state for job in bad} == {JobState.FAILED}
+    assert {harness.job(job).visible_state for job in other_jobs} == {
+        JobState.SUCCEEDED
+    }
+    assert {harness.job(job).visible_state for job in crashing_jobs} == {
+        JobState.FAILED
+    }
 
 
-def test_lasting_tasks_beside_crashing_ones_go_on(make_harness):
+def test_long_running_tasks_beside_crashing_ones_go_on(make_harness):
     harness = make_harness(workers=12, **THREE_HALLS)
-    lasting = {"count": 8, "cpu_milli": 1_000, "long_running": True}
+    long_running_step = {"count": 8, "cpu_milli": 1_000, "long_running": True}
     set_work_ms(harness, 1e9)
-    harness.submit(INNOCENT, job_spec(lasting))
+    harness.submit(INNOCENT, job_spec(long_running_step))
     harness.run(1_000)
-    bad = [f"{number:016x}" for number in range(1, 6)]
-    harness.crashes_after_ms = crash_by(*(f"{job}.0.0.0" for job in bad))
-    for job in bad:
+    crashing_jobs = [f"{number:016x}" for number in range(1, 6)]
+    harness.crashes_after_ms = crash_by(*(f"{job}.0.0.0" for job in crashing_jobs))
+    for job in crashing_jobs:
         harness.submit(job, job_spec({"count": 2, "cpu_milli": 500}))
         harness.run(1_700)
     harness.run(40_000)
-    assert {harness.job(job).visible_state for job in bad} == {JobState.FAILED}
+    assert {harness.job(job).visible_state for job in crashing_jobs} == {
+        JobState.FAILED
+    }
     assert harness.job(INNOCENT).visible_state is JobState.RUNNING
-    at_work = [task for task, _ in harness.running() if task.startswith(INNOCENT)]
-    assert len(at_work) == 8
+    running_tasks = [task for task, _ in harness.running() if task.startswith(INNOCENT)]
+    assert len(running_tasks) == 8
 
 
-def test_a_task_that_cost_two_workers_costs_nobody_else_a_third(make_harness):
+def test_third_crash_affects_no_other_task(make_harness):
     harness = make_harness(workers=6, **THREE_HALLS)
     harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec({"count": 1, "cpu_milli": 500}))
-    for number in range(100, 300):  # no worker is ever empty by itself
+    for number in range(100, 300):  # keeps all workers busy
         harness.submit(f"{number:016x}", job_spec({"count": 6, "cpu_milli": 900}))
         harness.run(100)
     crashes = [crash.tasks for crash in harness.crashes if FIRST_TASK in crash.tasks]
@@ -96,7 +104,7 @@
     assert crashes[2] == {FIRST_TASK}
 
 
-def test_the_first_loss_is_followed_by_a_start_where_least_runs(make_harness):
+def test_first_loss_moves_task_to_least_busy_worker(make_harness):
     harness = make_harness(workers=6, **THREE_HALLS)
     set_work_ms(harness, 60_000.0)
     for number in range(100, 104):
@@ -109,11 +117,11 @@
     assert busy[1] == 1 <= busy[0]
 
 
-# Where a suspect runs ----------------------------------------------------------
+# Where a crash suspect runs ----------------------------------------------------------
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_a_suspect_runs_apart_while_it_is_tried(make_harness, gang):
+def test_crash_suspect_runs_in_isolation(make_harness, gang):
     harness = make_harness(workers=6, **THREE_HALLS)
     set_work_ms(harness, 30_000.0)
     harness.submit(INNOCENT, job_spec({"count": 2, "cpu_milli": 500, "gang": gang}))
@@ -121,22 +129,22 @@
         harness.run(1_000)
         crash_where(harness, INNOCENT)
         harness.run(3_700)
-    tried = {
+    isolation_ids = {
         worker.worker_id
         for worker in harness.workers.values()
         if any(task.startswith(INNOCENT) for task, _ in worker.running)
     }
-    assert tried
-    for number in range(100, 110):  # more than the other workers hold
+    assert isolation_ids
+    for number in range(100, 110):  # more than fit on the other workers
         harness.submit(f"{number:016x}", job_spec({"count": 1, "cpu_milli": 7_000}))
     harness.run(1_000)
-    for worker_id in tried:
+    for worker_id in isolation_ids:
         jobs = {task.split(".")[0] for task, _ in harness.workers[worker_id].running}
         assert jobs == {INNOCENT}
 
 
-def test_the_run_that_decides_is_apart_though_the_losses_are_unlike(make_harness):
-    """From the soak: a job stood beside four crashes, and was given up for them."""
+def test_last_attempt_is_isolated_despite_unlike_losses(make_harness):
+    """Guards against failing a job for crashes that other tasks caused."""
     harness = make_harness(workers=6, **THREE_HALLS)
     set_work_ms(harness, 30_000.0)
     for number in range(100, 104):
@@ -154,11 +162,11 @@
     assert not worker.admits(harness.job(f"{100:016x}"), harness.now)
 
 
-def test_a_suspect_runs_soon_though_no_worker_is_empty(make_harness):
+def test_crash_suspect_runs_soon_without_empty_worker(make_harness):
     harness = make_harness(workers=4, cpu_milli=4_000)
     set_work_ms(harness, 1e9)
-    lasting = {"count": 12, "cpu_milli": 1_000, "long_running": True}
-    harness.submit("00000000000000cc", job_spec(lasting))
+    long_running_step = {"count": 12, "cpu_milli": 1_000, "long_running": True}
+    harness.submit("00000000000000cc", job_spec(long_running_step))
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(1_000)
     task = harness.job(INNOCENT).steps[0].tasks[0]
@@ -167,14 +175,14 @@
     }
     crash_where(harness, INNOCENT)
     task.losses.pop("y")
-    harness.run(3_300)  # until its lease is over
+    harness.run(3_300)  # until the lease expires
     harness.run(1_500)
     assert any(name == task.name for name, _ in harness.running())
 
 
-def test_a_task_waits_for_word_of_the_third_worker(make_harness):
+def test_task_waits_for_return_of_third_worker(make_harness):
     harness = make_harness(workers=9, **THREE_HALLS)
-    harness.return_delay_ms = 3_700.0  # later than the leases are over
+    harness.return_delay_ms = 3_700.0  # after the leases expire
     harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(30_000)
@@ -182,7 +190,7 @@
     assert harness.job(CRASHING).visible_state is JobState.FAILED
 
 
-def test_copies_stop_once_two_workers_of_a_task_are_silent(make_harness):
+def test_no_third_copy_after_two_silent_workers(make_harness):
     harness = make_harness(workers=9, **THREE_HALLS)
     harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(
@@ -192,10 +200,10 @@
     assert len(harness.starts_of(FIRST_TASK)) == 2
 
 
-# What is no loss, or is taken back --------------------------------------------------
+# Losses that do not count --------------------------------------------------
 
 
-def test_a_worker_that_was_merely_cut_off_is_taken_back(make_harness):
+def test_loss_is_cancelled_when_worker_reconnects(make_harness):
     harness = make_harness(workers=6, **THREE_HALLS)
     set_work_ms(harness, 120_000.0)
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
@@ -213,7 +221,7 @@
     assert harness.job(INNOCENT).visible_state is JobState.RUNNING
 
 
-def test_a_worker_that_leaves_is_no_loss(make_harness):
+def test_planned_worker_removal_is_no_loss(make_harness):
     harness = make_harness(workers=6, **THREE_HALLS)
     set_work_ms(harness, 120_000.0)
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
@@ -232,7 +240,7 @@
     assert harness.job(INNOCENT).visible_state is JobState.RUNNING
 
 
-def test_a_silent_worker_is_known_to_have_crashed_once_its_machine_is_back(
+def test_loss_is_certain_once_the_machine_restarts(
     make_harness,
 ):
     harness = make_harness(workers=6, **THREE_HALLS)
@@ -247,7 +255,7 @@
         assert [loss.is_certain for loss in found.values()] == [is_certain]
 
 
-def test_a_start_that_another_life_refuses_is_no_loss(harness):
+def test_start_refused_by_other_incarnation_is_no_loss(harness):
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(30)
     task = harness.job(INNOCENT).steps[0].tasks[0]
@@ -258,25 +266,26 @@
     assert run not in task.runs
 
 
-def test_a_run_that_outlives_the_lost_ones_clears_its_task(make_harness):
+def test_longer_run_clears_its_task(make_harness):
     harness = make_harness(workers=6, **THREE_HALLS)
     set_work_ms(harness, 120_000.0)
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
-    for proof_ms in (MIN_CLEARING_TIME_MS, 23_000.0):  # the second was at work for 11 s
+    # The second run is lost after a longer time, so its clearing takes longer, too.
+    for running_ms in (MIN_CLEARING_TIME_MS, 23_000.0):
         harness.run(1_000)
         crash_where(harness, INNOCENT)
         harness.run(3_700)
         assert losses(harness)
-        harness.run(proof_ms + 3_000)
+        harness.run(running_ms + 3_000)
         assert not losses(harness)
     assert harness.job(INNOCENT).visible_state is JobState.RUNNING
 
 
-def test_a_run_that_was_long_at_work_is_not_blamed(make_harness):
+def test_long_run_is_not_blamed(make_harness):
     harness = make_harness(workers=6, **THREE_HALLS)
     set_work_ms(harness, 1e9)
-    lasting = {"count": 1, "cpu_milli": 500, "long_running": True}
-    harness.submit(INNOCENT, job_spec(lasting))
+    long_running_step = {"count": 1, "cpu_milli": 500, "long_running": True}
+    harness.submit(INNOCENT, job_spec(long_running_step))
     for _ in range(5):
         harness.run(MAX_CLEARING_TIME_MS + 5_000)
         crash_where(harness, INNOCENT)
@@ -285,7 +294,7 @@
     assert harness.job(INNOCENT).visible_state is JobState.RUNNING
 
 
-def test_losses_count_at_once_under_the_next_owner(make_harness):
+def test_losses_are_kept_across_takeover(make_harness):
     harness = make_harness(workers=9, **THREE_HALLS)
     set_work_ms(harness, 60_000.0)
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
@@ -301,7 +310,7 @@
     assert len(before[0]) == 2
 
 
-def test_a_run_whose_start_was_not_seen_clears_nothing(harness):
+def test_run_with_unknown_start_clears_nothing(harness):
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(300)
     task = harness.job(INNOCENT).steps[0].tasks[0]
@@ -311,7 +320,7 @@
     assert task.losses
 
 
-def test_no_word_is_awaited_of_workers_that_are_known_to_have_crashed(make_harness):
+def test_crashed_workers_are_not_awaited(make_harness):
     harness = make_harness(workers=12, **THREE_HALLS)
     harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec({"count": 3, "cpu_milli": 500}))
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs whose end is heard after they were given up."""
+"""Gangs whose end is reported after they were given up."""
 
 import pytest
 
@@ -10,10 +10,10 @@
 
 
 @pytest.mark.parametrize("state", [RunState.INTENDED, RunState.SENT, RunState.LIVE])
-def test_a_gang_that_was_done_after_all_does_not_run_once_more(harness, state):
-    """Its leases were thought over; its next run was on its way when its end was heard.
+def test_gang_with_late_success_does_not_run_again(harness, state):
+    """Guards against a second run of a gang whose first run succeeded.
 
-    Run 1 stands for that next run here, and run 0 for the one that was given up.
+    Run 0 is the one that was given up, run 1 the next one.
     """
     gang = {"count": 2, "cpu_milli": 500, "gang": True}
     harness.submit(JOB, job_spec(gang, {"count": 1, "cpu_milli": 500, "after": (0,)}))
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
@@ -1,11 +1,6 @@
-"""No member of a gang waits in vain for the others, however slow its owner is.
+"""Gangs under a slow owner and with failing starts.
 
-The load: gangs of 2 to 12 tasks, several at once, some of them lasting, whose owner
-takes turns every 5 to 200 ms, stores within 10 to 400 ms and hears answers up to
-0.8 s late; stops take up to 0.9 s. A worker that waits in vain ends its run as
-`incomplete_gangs`: its room was held for nothing, and its caller waits for as long.
-
-The faults: starts that are refused, get no answer, are carried out late or lost.
+Guards against members that wait for the others until they time out.
 """
 
 import random
@@ -22,8 +17,8 @@
 JOB = "00000000000000aa"
 BOUNDS = Bounds(gang_wait_ms=4_000.0, stop_timeout_ms=900.0)
 REFUSALS = (Refusal.LATE, Refusal.UNWELL, Refusal.NO_ROOM, Refusal.OLD_RUN)
-# A gang that could not begin as a whole begins anew this soon after its first start.
-BEGIN_AGAIN_BOUND_MS = 4_000.0
+# Time after the first start within which an incomplete gang begins again.
+RESTART_BOUND_MS = 4_000.0
 
 
 def with_gangs(make_harness, *, workers=8, bounds=BOUNDS):
@@ -39,21 +34,21 @@
 
 
 def only_first(kind, index, answer):
-    """Return what befalls the first effect of a kind for a task of an index."""
-    befallen = []
+    """Return a hook that applies to the first effect of a kind for a task index."""
+    matched = []
 
-    def delivery_delays(effect):
+    def apply_once(effect):
         name = effect.run.key[0] if isinstance(effect, kind) else ""
-        if befallen or not name.endswith(f".{index}"):
+        if matched or not name.endswith(f".{index}"):
             return None
-        befallen.append(name)
+        matched.append(name)
         return answer
 
-    return delivery_delays
+    return apply_once
 
 
-def assert_whole_again(harness, jobs=(JOB,)):
-    """Let gangs go on; each is to be done without a member that waited in vain."""
+def assert_gangs_succeed(harness, jobs=(JOB,)):
+    """Run on and check that all gangs succeed and no member timed out waiting."""
     harness.run(30_000)
     assert not harness.gangs.incomplete_gangs
     for job_id in jobs:
@@ -65,19 +60,17 @@
 
 @pytest.mark.parametrize("refusal", REFUSALS)
 @pytest.mark.parametrize("estimated_ms", [500, 300_000])
-def test_a_member_that_is_refused_keeps_none_waiting(
-    make_harness, refusal, estimated_ms
-):
-    """The longer its tasks are, the longer standing still counts as usual for them."""
+def test_refused_member_keeps_no_other_waiting(make_harness, refusal, estimated_ms):
+    """Long tasks may stall longer before they are stopped."""
     harness = with_gangs(make_harness)
     harness.refusal_for = only_first(StartRun, 2, refusal)
     harness.submit(JOB, gang(4, estimated_ms=estimated_ms))
-    harness.run(BEGIN_AGAIN_BOUND_MS)
+    harness.run(RESTART_BOUND_MS)
     assert harness.gangs.started_gangs
-    assert_whole_again(harness)
+    assert_gangs_succeed(harness)
 
 
-def test_a_member_of_a_lasting_gang_that_is_refused_keeps_none_waiting(make_harness):
+def test_refused_long_running_member_keeps_no_other_waiting(make_harness):
     harness = with_gangs(make_harness)
     for worker in harness.workers.values():
         worker.work_ms = 1e9
@@ -89,19 +82,17 @@
 
 
 @pytest.mark.parametrize("command_delay_ms", [400.0, 1_000.0, 2_500.0, 6_000.0])
-def test_a_member_whose_start_comes_late_keeps_none_waiting(
-    make_harness, command_delay_ms
-):
+def test_delayed_start_keeps_no_member_waiting(make_harness, command_delay_ms):
     harness = with_gangs(make_harness)
-    delivery_delays = only_first(StartRun, 0, command_delay_ms)
-    harness.command_delay_ms = lambda effect: delivery_delays(effect) or 0.0
+    apply_once = only_first(StartRun, 0, command_delay_ms)
+    harness.command_delay_ms = lambda effect: apply_once(effect) or 0.0
     harness.submit(JOB, gang(4, estimated_ms=300_000))
-    assert_whole_again(harness)
+    assert_gangs_succeed(harness)
 
 
 @pytest.mark.parametrize("cause", ["list", "worker"])
-def test_a_gang_whose_starts_leave_in_part_is_stopped_as_a_whole(make_harness, cause):
-    """What the starts rest on ends between the first one and the last."""
+def test_partially_started_gang_is_stopped(make_harness, cause):
+    """A precondition of the starts ends between the first and the last."""
     harness = with_gangs(make_harness)
     left = []
     may_start = harness.cell.commands.may_start
@@ -119,23 +110,23 @@
 
     harness.cell.commands.may_start = change_midway
     harness.submit(JOB, gang(4, estimated_ms=300_000))
-    assert_whole_again(harness)
+    assert_gangs_succeed(harness)
 
 
 @pytest.mark.parametrize("stalls", [0, 1, 2])
-def test_a_gang_that_waits_is_not_held_against_its_workers(make_harness, stalls):
-    """Each time that it counted as standing still, the next time it waited longer."""
+def test_waiting_gang_does_not_count_as_stalled(make_harness, stalls):
+    """Waiting for other members must not count as a stall."""
     harness = with_gangs(make_harness)
     harness.refusal_for = only_first(StartRun, 2, Refusal.UNWELL)
     harness.submit(JOB, gang(4))
     for task in harness.job(JOB).steps[0].tasks:
         task.stalls = stalls
-    assert_whole_again(harness)
+    assert_gangs_succeed(harness)
     assert not any(note.event == "run_stands_still" for note in harness.notes)
 
 
-def test_a_gang_is_not_started_without_a_worker_that_fell_silent(make_harness):
-    """One of its workers has fallen silent since its start was decided on."""
+def test_gang_is_not_started_with_silent_worker(make_harness):
+    """A worker becomes silent before the starts are sent."""
     harness = with_gangs(make_harness)
     harness.append_latency_ms = lambda: 600.0
     harness.submit(JOB, gang(8, estimated_ms=300_000))
@@ -145,34 +136,34 @@
     harness.run(650)
     assert harness.counts["worker_silent"] == 1
     assert not harness.running()
-    assert_whole_again(harness)
+    assert_gangs_succeed(harness)
 
 
-def test_a_gang_that_has_begun_breaks_by_itself(make_harness):
-    """Its members end with the first of them; stops would only add orders."""
+def test_running_gang_ends_without_stops(make_harness):
+    """Guards against needless stops: all members end with the first."""
     harness = with_gangs(make_harness)
     harness.submit(JOB, gang(4))
     harness.run(400)
     assert harness.gangs.started_gangs
     worker = next(worker for worker in harness.workers.values() if worker.running)
     worker.end(next(iter(worker.running)), "failed")
-    assert_whole_again(harness)
+    assert_gangs_succeed(harness)
     assert not harness.counts["member_gone"]
     assert len(harness.gangs.started_gangs) == 2
 
 
-# Under load, drawn at random -------------------------------------------------------
+# Random load -------------------------------------------------------
 
 
-def slow_owner(harness, rng):
-    """Let turns, appends and answers take as long as under an overloaded owner."""
+def slow_down_owner(harness, rng):
+    """Delay cycles, appends, answers and commands as under an overloaded owner."""
     harness.cycle_interval_ms = lambda: rng.uniform(5.0, 200.0)
     harness.append_latency_ms = lambda: rng.choice((10.0, 155.0, 400.0))
     harness.answer_latency_ms = lambda effect: rng.uniform(0.0, 800.0)
     harness.command_latency_ms = lambda effect: rng.uniform(3.0, 150.0)
 
 
-def some_starts_go_wrong(harness, rng):
+def inject_start_faults(harness, rng):
     harness.refusal_for = lambda effect: (
         rng.choice(REFUSALS) if rng.random() < 0.05 else None
     )
@@ -190,35 +181,35 @@
     )
 
 
-@pytest.mark.parametrize("goes_wrong", [False, True])
+@pytest.mark.parametrize("with_faults", [False, True])
 @pytest.mark.parametrize("seed", range(24))
-def test_no_member_waits_in_vain_under_a_slow_owner(make_harness, seed, goes_wrong):
+def test_no_member_times_out_under_slow_owner(make_harness, seed, with_faults):
     rng = random.Random(f"gangs {seed}")
     harness = with_gangs(make_harness, workers=16)
-    slow_owner(harness, rng)
-    if goes_wrong:
-        some_starts_go_wrong(harness, rng)
+    slow_down_owner(harness, rng)
+    if with_faults:
+        inject_start_faults(harness, rng)
     jobs = [f"{number:016x}" for number in range(1, 11)]
     for job_id in jobs:
         estimated_ms = rng.choice((500, 5_000, 300_000))
         harness.submit(job_id, gang(rng.randint(2, 12), estimated_ms=estimated_ms))
         harness.run(rng.uniform(50.0, 1_500.0))
     harness.run(15_000)
-    slow_owner(harness, random.Random(0))
+    slow_down_owner(harness, random.Random(0))
     harness.is_command_lost = harness.is_start_answer_lost = harness.is_stop_dropped = (
         lambda effect: False
     )
     harness.refusal_for = lambda effect: None
     harness.command_delay_ms = lambda effect: 0.0
-    assert_whole_again(harness, jobs)
+    assert_gangs_succeed(harness, jobs)
 
 
-# Under one failure -----------------------------------------------------------------
+# Owner failure -----------------------------------------------------------------
 
 
 @pytest.mark.parametrize("after_ms", [20.0, 60.0, 400.0])
-def test_a_new_owner_stops_what_is_left_of_a_gang(make_harness, after_ms):
-    """Its predecessor ended while some of the starts were lost."""
+def test_new_owner_stops_partial_gang(make_harness, after_ms):
+    """The previous owner ends while some starts are lost."""
     harness = with_gangs(make_harness)
     harness.is_command_lost = only_first(StartRun, 3, True)
     harness.submit(JOB, gang(6, estimated_ms=300_000))
@@ -226,4 +217,4 @@
     harness.dead = True
     harness.run(300)
     harness.take_over()
-    assert_whole_again(harness)
+    assert_gangs_succeed(harness)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
@@ -1,10 +1,6 @@
-"""Workers of unlike speed, light load: urgent jobs go to fast workers with room.
+"""Placement by learned speed on heterogeneous workers under light load.
 
-The load: 24 workers of which 8 are 2.4 times as fast, which nothing tells; small urgent
-jobs that ask a tenth of the room, with an objective of one and a half times their work
-and a quarter of a second, alone or beside batch work with time to spare. One run in 33
-takes seven times as long. A caller of a small job waits at a counter: nine in ten begin
-on a fast worker while one has room, and batch work leaves them that room.
+Urgent jobs with tight objectives must get fast workers, batch jobs leave these free.
 """
 
 from math import log
@@ -25,8 +21,8 @@
 SETTLE_MS = 15_000.0
 
 
-class WatchedSite(MixedSpeedSite):
-    """Note of each start whether a fast worker had room, and which worker it got."""
+class RecordingSite(MixedSpeedSite):
+    """Record for each start whether a fast worker had capacity and was used."""
 
     def __init__(self, **fields):
         self.choices = []
@@ -34,28 +30,28 @@
 
     def _perform(self, cell, effect):
         if isinstance(effect, StartRun):
-            self._note_choice(cell, effect.run)
+            self._record_choice(cell, effect.run)
         super()._perform(cell, effect)
 
-    def _note_choice(self, cell, run):
+    def _record_choice(self, cell, run):
         fast = [
             worker
             for worker in cell.context.workers.values()
             if self.is_fast(worker.worker_id)
         ]
-        had_room = any(
+        had_capacity = any(
             worker.has_capacity(run.step) or worker is run.worker for worker in fast
         )
         is_fast = self.is_fast(run.worker.worker_id)
         job = run.task.step.job
-        self.choices.append((job.job_id, had_room, is_fast))
+        self.choices.append((job.job_id, had_capacity, is_fast))
 
     def share_on_fast(self, job_ids):
-        """Return the share on fast workers of the starts while one had room."""
+        """Return the share of starts on fast workers while one had capacity."""
         chosen = [
             is_fast
-            for job_id, had_room, is_fast in self.choices
-            if had_room and job_id in job_ids
+            for job_id, had_capacity, is_fast in self.choices
+            if had_capacity and job_id in job_ids
         ]
         return sum(chosen) / len(chosen)
 
@@ -64,21 +60,21 @@
     return {job_id for job_id in job_ids if site.job(job_id).queue_name == queue_name}
 
 
-def mixed(site):
-    """Play small jobs beside batch jobs; return those after the speeds are known."""
+def run_mixed_load(site):
+    """Run small and batch jobs; return those after the speeds are known."""
     site.load(LEARN_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     sent = site.load(LOAD_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(SETTLE_MS)
     return of_queue(site, sent, "q"), of_queue(site, sent, "batch")
 
 
-def never_learn(site):
+def disable_learning(site):
     site.cell.speeds.learn = lambda **fields: False
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_small_urgent_jobs_begin_on_fast_workers(seed):
-    site = WatchedSite(seed=seed)
+def test_urgent_jobs_start_on_fast_workers(seed):
+    site = RecordingSite(seed=seed)
     site.load(LEARN_MS, small=SMALL_GAP_MS)
     sent = set(site.load(LOAD_MS, small=SMALL_GAP_MS))
     site.run(SETTLE_MS)
@@ -87,25 +83,28 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_batch_work_leaves_fast_workers_to_urgent_jobs(seed):
-    site = WatchedSite(seed=seed)
-    small, batch = mixed(site)
+def test_batch_jobs_leave_fast_workers_to_urgent_jobs(seed):
+    site = RecordingSite(seed=seed)
+    small, batch = run_mixed_load(site)
     assert site.share_on_fast(small) >= 0.8
     assert site.share_on_fast(batch) <= 0.5
-    unaware = WatchedSite(seed=seed)
-    never_learn(unaware)
-    small_then, batch_then = mixed(unaware)
-    assert site.fraction_on_time(small) >= unaware.fraction_on_time(small_then)
-    assert site.fraction_on_time(batch) >= unaware.fraction_on_time(batch_then) - 0.05
+    without_learning = RecordingSite(seed=seed)
+    disable_learning(without_learning)
+    small_then, batch_then = run_mixed_load(without_learning)
+    assert site.fraction_on_time(small) >= without_learning.fraction_on_time(small_then)
+    assert (
+        site.fraction_on_time(batch)
+        >= without_learning.fraction_on_time(batch_then) - 0.05
+    )
 
 
-def test_alike_workers_are_chosen_as_without_speeds():
-    """Where all are alike, each task goes where it would go if nothing was learned."""
+def test_homogeneous_workers_are_chosen_as_without_learning():
+    """On homogeneous workers, placement must not depend on learned speeds."""
     starts = []
     for learns in (True, False):
         site = MixedSpeedSite(seed=5, slownesses=(1.0,))
         if not learns:
-            never_learn(site)
+            disable_learning(site)
         site.load(LOAD_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
         starts.append({name: w.starts for name, w in site.workers.items()})
         assert not site.cell.speeds.is_heterogeneous
@@ -113,20 +112,20 @@
 
 
 def moved_from_slow(site):
-    """Return how many runs were moved away from the slow workers."""
+    """Return how many runs were moved from slow workers."""
     workers = [n.fields["worker"] for n in site.notes if n.event == "run_moves"]
     return sum(not site.is_fast(name) for name in workers)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_slow_sound_workers_are_not_sick(seed):
-    """What is moved from them has a long tail, and does not just take its time."""
+def test_slow_workers_do_not_count_as_failing(seed):
+    """Guards against moving runs that merely run on a slow worker."""
     site = MixedSpeedSite(seed=seed)
-    mixed(site)
-    unaware = MixedSpeedSite(seed=seed)
-    never_learn(unaware)
-    mixed(unaware)
-    assert 3 * moved_from_slow(site) < moved_from_slow(unaware)
+    run_mixed_load(site)
+    without_learning = MixedSpeedSite(seed=seed)
+    disable_learning(without_learning)
+    run_mixed_load(without_learning)
+    assert 3 * moved_from_slow(site) < moved_from_slow(without_learning)
     learned = {True: [], False: []}
     for worker in site.cell.context.workers.values():
         learned[site.is_fast(worker.worker_id)].append(worker.slowness)
@@ -134,12 +133,12 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_workers_that_are_slow_for_a_while_are_paused_and_not_remembered_so(seed):
+def test_temporarily_slow_workers_are_paused_but_not_learned(seed):
     site = MixedSpeedSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     slowed = [name for name in site.workers if site.is_fast(name)][:4]
-    followed = [site.cell.context.workers[name] for name in slowed]
-    before = [worker.slowness for worker in followed]
+    slowed_workers = [site.cell.context.workers[name] for name in slowed]
+    before = [worker.slowness for worker in slowed_workers]
     site.notes.clear()
     for name in slowed:
         site.workers[name].slow_factor = 5.0 * FAST
@@ -149,29 +148,29 @@
     paused = [note for note in site.notes if note.event == "worker_slow"]
     assert {note.fields["worker"] for note in paused} & set(slowed)
     site.load(4_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    for worker, slowness in zip(followed, before, strict=True):
+    for worker, slowness in zip(slowed_workers, before, strict=True):
         assert worker.slowness <= 1.3 * slowness
 
 
 # Takeovers and restarts -------------------------------------------------------
 
 
-@pytest.mark.parametrize("is_told", [True, False])
-def test_a_new_owner_places_by_speed_at_once_only_if_it_was_told(is_told):
-    """With news it places by speed from its first task on; without, it learns anew."""
-    site = WatchedSite(seed=7)
+@pytest.mark.parametrize("is_announced", [True, False])
+def test_new_owner_uses_announced_speeds_at_once(is_announced):
+    """Without announcements, the new owner learns the speeds again."""
+    site = RecordingSite(seed=7)
     site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     fast = {f"m-{name}" for name in site.workers if site.is_fast(name)}
     assert len(fast & site.announced_speeds.keys()) >= 6
-    if not is_told:
+    if not is_announced:
         site.announced_speeds.clear()
     site.dead = True
     site.run(500)
     site.take_over()
-    assert site.cell.speeds.is_heterogeneous is is_told
+    assert site.cell.speeds.is_heterogeneous is is_announced
     site.run(1_500)
     first = set(site.load(3_000.0, small=SMALL_GAP_MS))
-    if is_told:
+    if is_announced:
         assert site.share_on_fast(first) >= 0.85
     site.load(2 * LEARN_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     assert site.cell.speeds.is_heterogeneous
@@ -179,7 +178,7 @@
     assert site.share_on_fast(later) >= 0.75
 
 
-def test_a_cell_takes_its_turns_when_all_workers_are_gone():
+def test_cell_runs_on_without_workers():
     site = MixedSpeedSite(seed=7)
     site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     assert site.cell.speeds.is_heterogeneous
@@ -191,16 +190,16 @@
     assert not site.cell.context.workers
 
 
-def test_speeds_are_kept_while_a_cell_has_no_work():
-    """Doubt grows meanwhile, but machines stay what they are."""
-    site = WatchedSite(seed=7)
+def test_speeds_are_kept_while_cell_is_idle():
+    """Variance grows meanwhile, but machines stay the same."""
+    site = RecordingSite(seed=7)
     site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(300_000.0)
     first = set(site.load(3_000.0, small=SMALL_GAP_MS))
     assert site.share_on_fast(first) >= 0.85
 
 
-def test_a_worker_that_starts_again_under_its_id_keeps_its_speed():
+def test_restarted_worker_keeps_its_speed():
     site = MixedSpeedSite(seed=8)
     site.load(8_000.0, small=SMALL_GAP_MS)
     name = next(name for name in site.workers if site.is_fast(name))
@@ -212,17 +211,17 @@
     assert again.slowness == pytest.approx(before, rel=0.25)
 
 
-# A machine that is far slower for good ---------------------------------------
+# A machine that is permanently far slower ---------------------------------------
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_machine_that_is_far_slower_for_good_attracts_no_work(seed):
-    """As it was told by an owner before; others have room at this load."""
+def test_far_slower_machine_gets_no_work(seed):
+    """A previous owner announced its speed; others have capacity."""
     site = MixedSpeedSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    sick = next(name for name in site.workers if not site.is_fast(name))
-    machine = f"m-{sick}"
-    site.workers[sick].slow_factor = 15.0
+    far_slower = next(name for name in site.workers if not site.is_fast(name))
+    machine = f"m-{far_slower}"
+    site.workers[far_slower].slow_factor = 15.0
     site.announced_speeds[machine] = LearnedSpeed(
         machine=machine, log_slowness=log(15.0)
     )
@@ -231,16 +230,16 @@
     site.take_over()
     site.run(1_500)
     sent = site.load(LOAD_MS, small=3 * SMALL_GAP_MS, batch=3 * BATCH_GAP_MS)
-    assert site.cell.context.workers[sick].slowness > 4.0
-    assert sick not in site.starts(set(sent))
+    assert site.cell.context.workers[far_slower].slowness > 4.0
+    assert far_slower not in site.starts(set(sent))
 
 
 # Gangs ------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_gang_with_a_tight_objective_takes_fast_members_alone(seed):
-    """It ends with its slowest member."""
+def test_gang_with_tight_objective_uses_fast_workers_only(seed):
+    """A gang ends with its slowest member."""
     site = MixedSpeedSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(10_000.0)
@@ -259,8 +258,8 @@
     assert all(site.is_fast(name) for name in members)
 
 
-def test_members_of_a_gang_are_judged_alike_in_whatever_order_they_end():
-    """All end with the slowest, so the time of each is the slowest one's."""
+def test_gang_members_share_the_slowest_slowness():
+    """All members end with the slowest one, whose slowness applies to each."""
     site = MixedSpeedSite(seed=1)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(10_000.0)
@@ -281,6 +280,6 @@
     assert min(slownesses) < 1.0 < max(slownesses)
     assert {run.slowness for run in runs} == {max(slownesses)}
     for run in sorted(runs, key=lambda run: -run.worker.slowness):
-        run.task.runs.remove(run)  # its end is listed and applied
+        run.task.runs.remove(run)  # its end is reported and applied
         assert run.slowness == max(slownesses)
     assert {run.slowness for run in runs} == {max(slownesses)}
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_load_shedding.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_load_shedding.py
@@ -1,7 +1,6 @@
-"""What an overloaded owner puts off, and what it never does.
+"""Load shedding of an overloaded owner.
 
-The load is an owner that has no time for all of its work: it acknowledges ends to idle
-workers later and asks for the advice of a later step only once its turn has come.
+It defers polls of idle workers and advice for later steps, never polls of busy workers.
 """
 
 from thymefork_cells.state import JobState
@@ -17,7 +16,7 @@
     return job_spec(STEP, {**STEP, "after": (0,)})
 
 
-def test_ends_are_acknowledged_to_idle_workers_once_there_is_time(make_harness):
+def test_ends_of_idle_workers_are_acknowledged_after_overload(make_harness):
     harness = make_harness(workers=1)
     context = harness.cell.context
     context.defers_idle_polls = True
@@ -31,7 +30,7 @@
     assert worker.stored_end == worker.acknowledged_end
 
 
-def test_workers_with_runs_are_looked_at_and_keep_their_leases(make_harness):
+def test_busy_workers_are_polled_and_keep_their_leases(make_harness):
     harness = make_harness(workers=1)
     harness.cell.context.defers_idle_polls = True
     for worker in harness.workers.values():
@@ -42,7 +41,7 @@
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
 
 
-def test_advice_is_asked_for_once_a_step_s_turn_has_come(make_harness):
+def test_advice_is_requested_only_once_step_is_due(make_harness):
     harness = make_harness(workers=2, advice=POLICY)
     harness.cell.context.defers_early_advice = True
     harness.submit(JOB, two_steps())
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_pending_counts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_pending_counts.py
@@ -1,8 +1,6 @@
-"""A queue's count of waiting jobs holds every job that no worker has begun.
+"""Pending counts of queues.
 
-The story: an owner whose appends took long told of one waiting job where five had
-waited for five seconds. A job counted as begun from the moment at which a start was
-decided, before that was stored, sent, or taken by a worker.
+Guards against jobs that count as begun before a worker has confirmed a start.
 """
 
 import pytest
@@ -27,43 +25,43 @@
         harness.submit(job_id, job_spec({"count": 2, "cpu_milli": 500}))
 
 
-def lose_starts(harness):
+def drop_starts(harness):
     harness.is_command_lost = lambda effect: isinstance(effect, StartRun)
 
 
-def test_jobs_whose_starts_reach_no_worker_are_counted(make_harness):
+def test_jobs_with_lost_starts_are_pending(make_harness):
     harness = make_harness()
-    lose_starts(harness)
+    drop_starts(harness)
     submit_all(harness)
     harness.run(6_000)
     assert pending(harness) == len(JOBS)
 
 
-def test_jobs_that_a_worker_has_confirmed_are_not_counted(make_harness):
+def test_jobs_with_confirmed_starts_are_not_pending(make_harness):
     harness = make_harness()
     submit_all(harness)
     harness.run(200)
     assert pending(harness) == 0
 
 
-def test_a_job_that_once_began_stays_begun_while_its_tasks_wait_again(make_harness):
+def test_job_that_lost_its_run_is_not_pending_again(make_harness):
     harness = make_harness(workers=1)
     harness.submit(JOBS[0], job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(200)
-    lose_starts(harness)
+    drop_starts(harness)
     harness.crash(harness.workers["w0"])
     harness.run(100)
     assert pending(harness) == 0
 
 
-@pytest.mark.parametrize("reaches", [True, False])
-def test_a_new_owner_counts_by_what_workers_tell(make_harness, reaches):
+@pytest.mark.parametrize("is_delivered", [True, False])
+def test_new_owner_counts_by_worker_reports(make_harness, is_delivered):
     harness = make_harness()
-    if not reaches:
-        lose_starts(harness)
+    if not is_delivered:
+        drop_starts(harness)
     submit_all(harness)
     harness.run(200)
     harness.dead = True
     harness.take_over()
     harness.run(300)
-    assert pending(harness) == (0 if reaches else len(JOBS))
+    assert pending(harness) == (0 if is_delivered else len(JOBS))
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_placement.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_placement.py
@@ -1,20 +1,20 @@
-"""Which worker a task is given to."""
+"""Choice of halls and workers for tasks."""
 
 from .harness import job_spec
 
 
-def test_single_accelerators_are_taken_where_some_are_taken(make_harness):
-    """From ferrecor-mvd: singles in every hall left no worker whole for a render."""
+def test_single_accelerators_are_packed(make_harness):
+    """Guards against single accelerators in use on every worker."""
     harness = make_harness(workers=4, accelerators=4, hall=lambda number: number // 2)
-    singles = {"count": 3, "cpu_milli": 500, "accelerators": 1}
+    single_tasks = {"count": 3, "cpu_milli": 500, "accelerators": 1}
     for number in range(2):
-        harness.submit(f"{number:016x}", job_spec(singles))
+        harness.submit(f"{number:016x}", job_spec(single_tasks))
         harness.run(30)
     used = {key: len(worker.starts) for key, worker in harness.workers.items()}
     assert sorted(used.values()) == [0, 0, 2, 4]
 
 
-def test_tasks_without_accelerators_keep_together_in_the_emptiest_hall(make_harness):
+def test_tasks_without_accelerators_share_the_emptiest_hall(make_harness):
     harness = make_harness(workers=4, hall=lambda number: f"h{number % 2}")
     first = {"count": 1, "cpu_milli": 6_000}
     harness.submit("a" * 16, job_spec(first))
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_preemption.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Urgent steps among long work."""
+"""Preemption of runs that checkpoint their progress."""
 
 from thymefork_cells.state import JobState
 
@@ -8,7 +8,7 @@
 URGENT = {"count": 1, "cpu_milli": 4_000, "estimated_ms": 800}
 
 
-def fill(harness, **fields):
+def fill_worker(harness, **fields):
     worker = harness.workers["w0"]
     worker.work_ms = 10_000.0
     step = {"count": 2, "cpu_milli": 4_000, **fields}
@@ -18,9 +18,9 @@
     worker.work_ms = 300.0
 
 
-def test_work_that_keeps_its_progress_makes_way(make_harness):
+def test_checkpointing_runs_are_preempted(make_harness):
     harness = make_harness(workers=1)
-    fill(harness, checkpoints=True)
+    fill_worker(harness, checkpoints=True)
     harness.submit(JOB, job_spec(URGENT))
     harness.run(1_200)
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
@@ -28,17 +28,17 @@
     assert harness.job(BATCH).visible_state is JobState.SUCCEEDED
 
 
-def test_work_that_would_lose_its_progress_is_let_be(make_harness):
+def test_runs_without_checkpoints_are_not_preempted(make_harness):
     harness = make_harness(workers=1)
-    fill(harness)
+    fill_worker(harness)
     harness.submit(JOB, job_spec(URGENT))
     harness.run(1_200)
     assert not harness.starts_of(f"{JOB}.0.0.0")
 
 
-def test_nothing_makes_way_for_a_step_that_is_late_anyway(make_harness):
+def test_late_step_preempts_nothing(make_harness):
     harness = make_harness(workers=1)
-    fill(harness, checkpoints=True)
+    fill_worker(harness, checkpoints=True)
     harness.submit(JOB, job_spec({**URGENT, "estimated_ms": 1}))
     harness.job(JOB).objective_ms = harness.now
     harness.run(1_200)
@@ -46,7 +46,7 @@
 
 
 def fill_accelerators(harness, count):
-    """Occupy an accelerator each by work that keeps its progress."""
+    """Occupy accelerators with preemptible tasks, one each."""
     for worker in harness.workers.values():
         worker.work_ms = 10_000.0
     step = {"count": count, "cpu_milli": 500, "accelerators": 1, "checkpoints": True}
@@ -60,8 +60,7 @@
 WHOLE_WORKER = {"count": 1, "cpu_milli": 1_000, "accelerators": 4, "estimated_ms": 400}
 
 
-def test_singles_make_way_for_a_task_that_wants_all_accelerators(make_harness):
-    """From ferrecor-mvd: such tasks waited 5 to 18 s beside single ones."""
+def test_several_runs_are_preempted_for_all_accelerators(make_harness):
     harness = make_harness(workers=2, accelerators=4)
     fill_accelerators(harness, 8)
     harness.submit(JOB, job_spec(WHOLE_WORKER))
@@ -70,7 +69,7 @@
     assert harness.counts["made_way"] == 4
 
 
-def test_the_worker_with_the_least_work_to_stop_makes_way(make_harness):
+def test_worker_with_least_work_to_stop_is_chosen(make_harness):
     harness = make_harness(workers=2, accelerators=4)
     fill_accelerators(harness, 6)
     busy = {key: len(worker.running) for key, worker in harness.workers.items()}
@@ -81,7 +80,7 @@
     assert harness.counts["made_way"] == 2
 
 
-def test_work_whose_job_would_be_late_by_it_is_let_be(make_harness):
+def test_run_is_not_preempted_if_its_job_would_be_late(make_harness):
     harness = make_harness(workers=1, accelerators=4)
     fill_accelerators(harness, 4)
     harness.job(BATCH).objective_ms = harness.now + 9_000
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_reservations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_reservations.py
@@ -1,4 +1,4 @@
-"""Gangs and large tasks among small ones that take every piece of room."""
+"""Reservations for gangs and large tasks among many small ones."""
 
 from .harness import job_spec
 
@@ -7,8 +7,8 @@
 PERIOD_MS = 220
 
 
-def stream(harness, *, for_ms, **fields):
-    """Submit a single task each period, so that some are always running."""
+def submit_stream(harness, *, for_ms, **fields):
+    """Submit a single task per period, so that some are always running."""
     for number in range(int(for_ms / PERIOD_MS)):
         harness.submit(f"{int(harness.now):08x}{number:08x}", job_spec(SINGLE | fields))
         harness.run(PERIOD_MS)
@@ -18,17 +18,16 @@
     return [harness.starts_of(f"{GANG}.0.0.{index}") for index in range(2)]
 
 
-def test_a_wide_gang_is_not_starved_by_single_tasks(make_harness):
-    """From cab-bogota-grown, trouble-3: a gang waited 34 s beside free room (LOST)."""
+def test_gang_is_not_starved_by_single_tasks(make_harness):
     harness = make_harness(workers=2, cpu_milli=3_000)
-    stream(harness, for_ms=2_000)
-    wide = {"count": 2, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
-    harness.submit(GANG, job_spec(wide))
-    stream(harness, for_ms=6_000)
+    submit_stream(harness, for_ms=2_000)
+    wide_gang = {"count": 2, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
+    harness.submit(GANG, job_spec(wide_gang))
+    submit_stream(harness, for_ms=6_000)
     assert all(gang_starts(harness))
 
 
-def test_tasks_that_end_before_the_gang_could_start_are_let_in(make_harness):
+def test_short_tasks_are_backfilled(make_harness):
     harness = make_harness(workers=2, cpu_milli=3_000)
     for worker in harness.workers.values():
         worker.work_ms = 6_000.0
@@ -37,8 +36,8 @@
     harness.run(500)
     for worker in harness.workers.values():
         worker.work_ms = 800.0
-    wide = {"count": 2, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
-    harness.submit(GANG, job_spec(wide))
+    wide_gang = {"count": 2, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
+    harness.submit(GANG, job_spec(wide_gang))
     harness.run(2_500)
     harness.submit("c" * 16, job_spec(SINGLE))
     harness.run(300)
@@ -46,20 +45,20 @@
     assert not any(gang_starts(harness))
 
 
-def test_a_gang_that_can_never_fit_keeps_nothing_from_others(make_harness):
+def test_gang_that_never_fits_blocks_no_others(make_harness):
     harness = make_harness(workers=2, cpu_milli=3_000)
-    wide = {"count": 3, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
-    harness.submit(GANG, job_spec(wide))
+    wide_gang = {"count": 3, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
+    harness.submit(GANG, job_spec(wide_gang))
     harness.run(3_000)
     harness.submit("c" * 16, job_spec(SINGLE | {"estimated_ms": 60_000}))
     harness.run(300)
     assert harness.starts_of(f"{'c' * 16}.0.0.0")
 
 
-def reserved_beside(harness):
-    """Let a gang wait until workers are kept for it; return whether others starve."""
-    wide = {"count": 2, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
-    harness.submit(GANG, job_spec(wide))
+def do_others_starve(harness):
+    """Let a gang wait for a reservation; return whether other tasks starve."""
+    wide_gang = {"count": 2, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
+    harness.submit(GANG, job_spec(wide_gang))
     harness.run(6_000)
     assert not any(gang_starts(harness))
     harness.submit("c" * 16, job_spec(SINGLE | {"estimated_ms": 60_000}))
@@ -67,40 +66,39 @@
     return not harness.starts_of(f"{'c' * 16}.0.0.0")
 
 
-def test_workers_on_probation_are_not_kept_for_a_gang(make_harness):
-    """From cab-bogota-grown, inc-412f (LOST): a gang takes none, so it kept them."""
+def test_workers_on_probation_are_not_reserved_for_gang(make_harness):
+    """Guards against reserving workers that a gang can't use."""
     harness = make_harness(workers=2, cpu_milli=3_000)
     harness.run(50)
     for worker in harness.cell.context.workers.values():
         worker.health.on_probation = True
-    assert not reserved_beside(harness)
+    assert not do_others_starve(harness)
 
 
-def test_workers_are_given_back_where_the_gang_lacks_something_else(make_harness):
+def test_overdue_reservation_is_released(make_harness):
     harness = make_harness(workers=2, cpu_milli=3_000)
     harness.run(50)
     harness.cell.placer._place_gang = lambda step, workers, now_ms: None
-    assert not reserved_beside(harness)
+    assert not do_others_starve(harness)
     assert harness.counts["given_up"] >= 1
 
 
 LARGE = {"count": 1, "cpu_milli": 3_000, "estimated_ms": 800}
 
 
-def test_a_task_as_large_as_a_worker_is_not_starved_by_small_ones(make_harness):
-    """From ferrecor-mvd: such a task waited 18 s for one of the workers allowed."""
+def test_large_task_is_not_starved_by_small_ones(make_harness):
     harness = make_harness(workers=1, cpu_milli=3_000)
-    stream(harness, for_ms=1_000)
+    submit_stream(harness, for_ms=1_000)
     harness.submit(GANG, job_spec(LARGE | {"estimated_ms": 400}))
     harness.job(GANG).objective_ms = harness.now + 1_750
-    stream(harness, for_ms=2_500)
+    submit_stream(harness, for_ms=2_500)
     assert harness.starts_of(f"{GANG}.0.0.0")
 
 
-def test_no_room_is_kept_for_a_large_task_that_is_late_anyway(make_harness):
-    """From an overload of twice what the workers bear: all room was kept idle."""
+def test_late_large_task_gets_no_reservation(make_harness):
+    """Guards against idle reserved workers under overload."""
     harness = make_harness(workers=1, cpu_milli=3_000)
-    stream(harness, for_ms=1_000)
+    submit_stream(harness, for_ms=1_000)
     harness.submit(GANG, job_spec(LARGE))
     harness.job(GANG).objective_ms = harness.now
     harness.run(300)
@@ -109,8 +107,8 @@
     assert harness.starts_of(f"{'c' * 16}.0.0.0")
 
 
-def occupy(harness, cpu_milli):
-    """Let each worker run one task for long."""
+def occupy_workers(harness, cpu_milli):
+    """Occupy each worker with one long task."""
     for worker in harness.workers.values():
         worker.work_ms = 6_000.0
     count = len(harness.workers)
@@ -121,9 +119,9 @@
         worker.work_ms = 800.0
 
 
-def test_large_tasks_of_several_jobs_have_room_kept_at_a_time(make_harness):
+def test_large_tasks_of_several_jobs_get_reservations(make_harness):
     harness = make_harness(workers=2, cpu_milli=3_000)
-    occupy(harness, 2_000)
+    occupy_workers(harness, 2_000)
     for job_id in (GANG, "d" * 16):
         harness.submit(job_id, job_spec(LARGE), queue="batch")
     harness.run(400)
@@ -134,9 +132,9 @@
     assert harness.starts_of(f"{GANG}.0.0.0") and harness.starts_of(f"{'d' * 16}.0.0.0")
 
 
-def test_a_more_urgent_step_takes_what_is_kept_for_another(make_harness):
+def test_more_urgent_step_uses_reserved_worker(make_harness):
     harness = make_harness(workers=1, cpu_milli=3_000)
-    occupy(harness, 2_000)
+    occupy_workers(harness, 2_000)
     harness.submit(GANG, job_spec(LARGE), queue="batch")
     harness.run(400)
     harness.submit("c" * 16, job_spec(SINGLE))
