--- a/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
@@ -154,7 +154,7 @@
             spec=spec,
             workers=usable,
             hall=best_hall(spec, suitable, len(tasks)),
-            tasks_per_worker=step.runs_per_worker() if spec.most_per_worker else None,
+            runs_per_worker=step.runs_per_worker() if spec.most_per_worker else None,
             rate=partial(fit_score, spec, speed_scorer=scorer),
             has_unasked_workers=self._advice.has_unasked_workers(step, workers),
         )
@@ -187,7 +187,7 @@
             spec=step.spec,
             workers=self._crash_isolation.workers_for(step, ready, permitted, now_ms),
             hall="",
-            tasks_per_worker=step.runs_per_worker()
+            runs_per_worker=step.runs_per_worker()
             if step.spec.most_per_worker
             else None,
             rate=partial(self._crash_isolation.rate, step),
--- a/packages/thymefork-cells/src/thymefork_cells/placement/worker_ranking.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/worker_ranking.py
@@ -61,13 +61,13 @@
     """
 
     def __init__(
-        self, *, spec, workers, hall, tasks_per_worker, rate, has_unasked_workers=False
+        self, *, spec, workers, hall, runs_per_worker, rate, has_unasked_workers=False
     ):
         self._spec = spec
         self._rate_without_hall = rate
         self._has_unasked_workers = has_unasked_workers
         self._hall = hall
-        self._tasks_per_worker = tasks_per_worker
+        self._tasks_per_worker = runs_per_worker
         self._size = len(workers)
         self._last_row = None
         self._rows = [
