--- a/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
@@ -229,12 +229,12 @@
             for worker_id in sorted(step.allowed & workers.keys())
             if workers[worker_id].fits_when_empty(step.spec)
         ]
-        lasting = [
+        valid_workers = [
             worker
             for worker in allowed
             if step.ticket_for(worker.worker_id, horizon_ms) is not None
         ]
-        if 2 * len(lasting) >= len(allowed):
+        if 2 * len(valid_workers) >= len(allowed):
             return []
         return allowed[:MAX_WORKERS_PER_CALL]
 
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/worker_speeds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/worker_speeds.py
@@ -81,8 +81,8 @@
 
     log(duration) = log(duration of the step on an average worker) + log(slowness of
     the machine) + noise. Each residual is split among the unknowns in proportion to
-    their variances. The initial duration of a step combines that of its image with its
-    caller's estimate.
+    their variances. The initial duration of a step combines that of its image with
+    its caller's estimate.
     """
 
     def __init__(self):
@@ -93,30 +93,30 @@
 
     def learn(self, *, worker, step_name, step, took_ms, now_ms):
         """Learn from a successful run; return whether it was an outlier."""
-        known = self._machine(worker.machine, worker.born_epoch_ms, now_ms)
-        image = self._image(step, now_ms)
-        work = self._work(step_name, step, image, now_ms)
+        known = self._machine_state(worker.machine, worker.born_epoch_ms, now_ms)
+        image_estimate = self._image_estimate(step, now_ms)
+        step_estimate = self._step_estimate(step_name, step, image_estimate, now_ms)
         took = log(max(1.0, took_ms))
-        residual = took - work.mean - known.estimate.mean
-        total = known.estimate.variance + work.variance + RUN_VARIANCE
+        residual = took - step_estimate.mean - known.estimate.mean
+        total = known.estimate.variance + step_estimate.variance + RUN_VARIANCE
         deviations = abs(residual) / sqrt(total)
         is_outlier = residual > 0.0 and deviations > OUTLIER_DEVIATIONS
         weight = min(1.0, REDUCED_WEIGHT_DEVIATIONS / max(deviations, 1e-9))
         if is_outlier:
             weight = OUTLIER_WEIGHT
-        residual_of_image = took - image.mean - known.estimate.mean
+        residual_of_image = took - image_estimate.mean - known.estimate.mean
         known.estimate.update(residual, total_variance=total, weight=weight)
-        work.update(residual, total_variance=total, weight=weight)
-        image.update(
+        step_estimate.update(residual, total_variance=total, weight=weight)
+        image_estimate.update(
             residual_of_image,
-            total_variance=total + image.variance + STEP_VARIANCE,
+            total_variance=total + image_estimate.variance + STEP_VARIANCE,
             weight=weight,
         )
         is_deviating = deviations > REDUCED_WEIGHT_DEVIATIONS
         self._detect_change(known, residual if is_deviating else 0.0, now_ms)
         return is_outlier
 
-    def _machine(self, machine, born_epoch_ms, now_ms):
+    def _machine_state(self, machine, born_epoch_ms, now_ms):
         known = self._machines.pop(machine, None)
         if known is None:
             known = _Machine(estimate=_new_estimate(0.0, MACHINE_VARIANCE, now_ms))
@@ -130,28 +130,30 @@
             known.born_epoch_ms = born_epoch_ms
         return known
 
-    def _image(self, step, now_ms):
+    def _image_estimate(self, step, now_ms):
         """Return the estimated duration of an image."""
-        image = self._images.pop(step.image, None) if step.image else None
-        if image is None:
-            image = _new_estimate(_caller_log_ms(step), IMAGE_VARIANCE, now_ms)
-        image.add_drift(now_ms, IMAGE_DRIFT_PER_S)
+        image_estimate = self._images.pop(step.image, None) if step.image else None
+        if image_estimate is None:
+            image_estimate = _new_estimate(_caller_log_ms(step), IMAGE_VARIANCE, now_ms)
+        image_estimate.add_drift(now_ms, IMAGE_DRIFT_PER_S)
         if step.image:
-            self._images[step.image] = image
+            self._images[step.image] = image_estimate
             _drop_oldest(self._images, MAX_IMAGES)
-        return image
+        return image_estimate
 
-    def _work(self, step_name, step, image, now_ms):
+    def _step_estimate(self, step_name, step, image_estimate, now_ms):
         """Return the estimated duration of a step."""
-        work = self._steps.pop(step_name, None)
-        if work is None:
-            by_image = image.variance + STEP_VARIANCE
+        step_estimate = self._steps.pop(step_name, None)
+        if step_estimate is None:
+            by_image = image_estimate.variance + STEP_VARIANCE
             part = by_image / (by_image + ESTIMATE_VARIANCE)
-            mean = image.mean + part * (_caller_log_ms(step) - image.mean)
-            work = _new_estimate(mean, (1.0 - part) * by_image, now_ms)
-        self._steps[step_name] = work
+            mean = image_estimate.mean + part * (
+                _caller_log_ms(step) - image_estimate.mean
+            )
+            step_estimate = _new_estimate(mean, (1.0 - part) * by_image, now_ms)
+        self._steps[step_name] = step_estimate
         _drop_oldest(self._steps, MAX_STEPS)
-        return work
+        return step_estimate
 
     @staticmethod
     def _detect_change(machine, residual, now_ms):
@@ -226,11 +228,11 @@
         middle = median(estimate.mean for estimate in known)
         notable = sum(_is_notable(estimate, middle) for estimate in known)
         share = HOMOGENEOUS_SHARE if self.is_heterogeneous else HETEROGENEOUS_SHARE
-        was, self.is_heterogeneous = (
+        was_heterogeneous, self.is_heterogeneous = (
             self.is_heterogeneous,
             notable >= max(2, share * len(known)),
         )
-        return was != self.is_heterogeneous
+        return was_heterogeneous != self.is_heterogeneous
 
     def _center(self, known):
         """Shift the estimates so that the average machine has slowness 1.
@@ -241,8 +243,8 @@
         offset = fmean(estimate.mean for estimate in known)
         for machine in self._machines.values():
             machine.estimate.mean -= offset
-        for work in chain(self._images.values(), self._steps.values()):
-            work.mean += offset
+        for estimate in chain(self._images.values(), self._steps.values()):
+            estimate.mean += offset
 
     def newly_notable(self, machines):
         """Return the machines that became notably slow or fast, or average again."""
--- a/packages/thymefork-cells/src/thymefork_cells/placement/exploration_scorer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/exploration_scorer.py
@@ -5,15 +5,15 @@
 # Penalty for a worker of known speed: above any difference in fit, and below
 # OTHER_HALL_PENALTY.
 KNOWN_SPEED_PENALTY = 1.5
-# Average lateness probability above which a queue's tasks explore. It is lower on
-# average workers even if callers' estimates are inaccurate.
+# Smoothed lateness probability above which a queue's tasks explore other workers. On
+# healthy workers it stays lower despite inaccurate estimates.
 HIGH_RISK = 0.2
 # Weight of the newest step in a queue's moving average.
 SMOOTHING_FACTOR = 0.05
 
 
 class LatenessRisk:
-    """Average each queue's lateness probability on an average worker.
+    """Track each queue's moving average of the lateness probability.
 
     A single step says little, since its objective depends on its caller's estimate.
     """
--- a/packages/thymefork-cells/src/thymefork_cells/placement/gang_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/gang_workers.py
@@ -12,10 +12,10 @@
     """
     if step.spec.same_rack:
         for members in _by_rack(workers):
-            chosen = _fill(step.spec, members)
+            chosen = _allocate(step.spec, members)
             if chosen is not None:
                 return chosen
-    return _fill(step.spec, workers)
+    return _allocate(step.spec, workers)
 
 
 def _by_rack(workers):
@@ -25,7 +25,7 @@
     return racks.values()
 
 
-def _fill(spec, workers):
+def _allocate(spec, workers):
     slots = []
     for worker in workers:
         if worker.health.on_probation:
