--- a/packages/thymefork-cells/src/thymefork_cells/placement/reservations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/reservations.py
@@ -51,7 +51,7 @@
         self._context = context
         self._durations = durations
         self._forecast = forecast
-        self._reservations = {}
+        self._kept = {}
         self._by_worker = {}
         self._rank = {}
         self._paused_until_ms = {}
@@ -64,7 +64,7 @@
         if now_ms < self._review_due_ms and not self._has_settled_step():
             return
         self._review_due_ms = now_ms + REVIEW_MS
-        previous, self._reservations, self._by_worker = self._reservations, {}, {}
+        previous, self._kept, self._by_worker = self._kept, {}, {}
         for step in steps:
             if self._waits_for_room(step, now_ms):
                 self._reserve(step, workers_of(step), previous.get(step), now_ms)
@@ -89,17 +89,17 @@
     def _has_settled_step(self):
         """Return whether a step with a reservation has started or ended."""
         return any(
-            not step.job.is_live or not step.waiting for step in self._reservations
+            not step.job.is_live or not step.waiting for step in self._kept
         )
 
     def _release_overdue(self, now_ms):
         """Release reservations of steps that did not start in time."""
-        for step, reservation in list(self._reservations.items()):
+        for step, reservation in list(self._kept.items()):
             if now_ms < reservation.expected_start_ms + OVERDUE_MS:
                 continue
             self._context.count("reservations", "given_up")
             self._context.note("reservation_ends", step=step.name)
-            del self._reservations[step]
+            del self._kept[step]
             self._paused_until_ms[step.name] = now_ms + PAUSE_MS
             self._review_due_ms = now_ms
         self._paused_until_ms = {
@@ -136,7 +136,7 @@
             waiting=len(step.waiting),
             expected_start_ms=previous.expected_start_ms if is_under_way else next_ms,
         )
-        self._reservations[step] = reservation
+        self._kept[step] = reservation
         self._by_worker |= dict.fromkeys(times, reservation)
         if previous is None:
             self._log(reservation, next_ms, now_ms)
