--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
@@ -261,7 +261,7 @@
     task = harness.job(INNOCENT).steps[0].tasks[0]
     (run,) = task.runs
     answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
-    harness.cell.on_start(run, answer, now_ms=harness.now)
+    harness.cell.on_start_answer(run, answer, now_ms=harness.now)
     assert not task.losses
     assert run not in task.runs
 
@@ -303,7 +303,7 @@
         crash_where(harness, INNOCENT)
         harness.run(3_700)
     before = losses(harness)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(500)
     harness.take_over()
     assert losses(harness) == before
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
@@ -214,7 +214,7 @@
     harness.is_command_lost = only_first(StartRun, 3, True)
     harness.submit(JOB, gang(6, estimated_ms=300_000))
     harness.run(after_ms)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(300)
     harness.take_over()
     assert_gangs_succeed(harness)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
@@ -11,7 +11,7 @@
 from thymefork_cells.estimates import LearnedSpeed
 
 from .harness import job_spec
-from .mixed_speed_site import FAST, MixedSpeedSite
+from .heterogeneous_site import FAST, HeterogeneousSite
 
 SEEDS = (1, 2, 3, 4)
 SMALL_GAP_MS = 133.0
@@ -21,7 +21,7 @@
 SETTLE_MS = 15_000.0
 
 
-class RecordingSite(MixedSpeedSite):
+class RecordingSite(HeterogeneousSite):
     """Record for each start whether a fast worker had capacity and was used."""
 
     def __init__(self, **fields):
@@ -102,7 +102,7 @@
     """On homogeneous workers, placement must not depend on learned speeds."""
     starts = []
     for learns in (True, False):
-        site = MixedSpeedSite(seed=5, slownesses=(1.0,))
+        site = HeterogeneousSite(seed=5, slownesses=(1.0,))
         if not learns:
             disable_learning(site)
         site.load(LOAD_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
@@ -120,9 +120,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_slow_workers_do_not_count_as_failing(seed):
     """Guards against moving runs that merely run on a slow worker."""
-    site = MixedSpeedSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     run_mixed_load(site)
-    without_learning = MixedSpeedSite(seed=seed)
+    without_learning = HeterogeneousSite(seed=seed)
     disable_learning(without_learning)
     run_mixed_load(without_learning)
     assert 3 * moved_from_slow(site) < moved_from_slow(without_learning)
@@ -134,7 +134,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_temporarily_slow_workers_are_paused_but_not_learned(seed):
-    site = MixedSpeedSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     slowed = [name for name in site.workers if site.is_fast(name)][:4]
     slowed_workers = [site.cell.context.workers[name] for name in slowed]
@@ -164,7 +164,7 @@
     assert len(fast & site.announced_speeds.keys()) >= 6
     if not is_announced:
         site.announced_speeds.clear()
-    site.dead = True
+    site.is_owner_down = True
     site.run(500)
     site.take_over()
     assert site.cell.speeds.is_heterogeneous is is_announced
@@ -179,7 +179,7 @@
 
 
 def test_cell_runs_on_without_workers():
-    site = MixedSpeedSite(seed=7)
+    site = HeterogeneousSite(seed=7)
     site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     assert site.cell.speeds.is_heterogeneous
     site.run(30_000.0)
@@ -200,7 +200,7 @@
 
 
 def test_restarted_worker_keeps_its_speed():
-    site = MixedSpeedSite(seed=8)
+    site = HeterogeneousSite(seed=8)
     site.load(8_000.0, small=SMALL_GAP_MS)
     name = next(name for name in site.workers if site.is_fast(name))
     before = site.cell.context.workers[name].slowness
@@ -217,7 +217,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_far_slower_machine_gets_no_work(seed):
     """A previous owner announced its speed; others have capacity."""
-    site = MixedSpeedSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     far_slower = next(name for name in site.workers if not site.is_fast(name))
     machine = f"m-{far_slower}"
@@ -225,7 +225,7 @@
     site.announced_speeds[machine] = LearnedSpeed(
         machine=machine, log_slowness=log(15.0)
     )
-    site.dead = True
+    site.is_owner_down = True
     site.run(500)
     site.take_over()
     site.run(1_500)
@@ -240,7 +240,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_gang_with_tight_objective_uses_fast_workers_only(seed):
     """A gang ends with its slowest member."""
-    site = MixedSpeedSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(10_000.0)
     step = {
@@ -260,7 +260,7 @@
 
 def test_gang_members_share_the_slowest_slowness():
     """All members end with the slowest one, whose slowness applies to each."""
-    site = MixedSpeedSite(seed=1)
+    site = HeterogeneousSite(seed=1)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(10_000.0)
     step = {
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_pending_counts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_pending_counts.py
@@ -61,7 +61,7 @@
         drop_starts(harness)
     submit_all(harness)
     harness.run(200)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.take_over()
     harness.run(300)
     assert pending(harness) == (0 if is_delivered else len(JOBS))
--- a/packages/thymefork-cli/src/thymefork_cli/losses/cause_rules.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/cause_rules.py
@@ -8,7 +8,7 @@
 __all__ = ["cause_of_delay", "cause_of_refusal", "cause_of_wait"]
 
 # A delay below this explains nothing: it is what each start or append takes.
-LEAST_DELAY_MS = 50.0
+MIN_DELAY_MS = 50.0
 
 
 def cause_of_refusal(job):
@@ -46,7 +46,7 @@
     cause = _cause_of_late_start(job, meanwhile)
     parts_ms[cause] = max(parts_ms.get(cause, 0.0), waited_ms)
     largest = max(parts_ms, key=parts_ms.get)
-    if parts_ms[largest] >= LEAST_DELAY_MS:
+    if parts_ms[largest] >= MIN_DELAY_MS:
         return largest
     return _cause_among(meanwhile)
 
