--- a/packages/thymefork-cells/src/thymefork_cells/placement/reservations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/reservations.py
@@ -51,7 +51,7 @@
         self._context = context
         self._durations = durations
         self._forecast = forecast
-        self._kept = {}
+        self._by_step = {}
         self._by_worker = {}
         self._rank = {}
         self._paused_until_ms = {}
@@ -64,7 +64,7 @@
         if now_ms < self._review_due_ms and not self._has_settled_step():
             return
         self._review_due_ms = now_ms + REVIEW_MS
-        previous, self._kept, self._by_worker = self._kept, {}, {}
+        previous, self._by_step, self._by_worker = self._by_step, {}, {}
         for step in steps:
             if self._waits_for_room(step, now_ms):
                 self._reserve(step, workers_of(step), previous.get(step), now_ms)
@@ -88,18 +88,16 @@
 
     def _has_settled_step(self):
         """Return whether a step with a reservation has started or ended."""
-        return any(
-            not step.job.is_live or not step.waiting for step in self._kept
-        )
+        return any(not step.job.is_live or not step.waiting for step in self._by_step)
 
     def _release_overdue(self, now_ms):
         """Release reservations of steps that did not start in time."""
-        for step, reservation in list(self._kept.items()):
+        for step, reservation in list(self._by_step.items()):
             if now_ms < reservation.expected_start_ms + OVERDUE_MS:
                 continue
             self._context.count("reservations", "given_up")
             self._context.note("reservation_ends", step=step.name)
-            del self._kept[step]
+            del self._by_step[step]
             self._paused_until_ms[step.name] = now_ms + PAUSE_MS
             self._review_due_ms = now_ms
         self._paused_until_ms = {
@@ -136,7 +134,7 @@
             waiting=len(step.waiting),
             expected_start_ms=previous.expected_start_ms if is_under_way else next_ms,
         )
-        self._kept[step] = reservation
+        self._by_step[step] = reservation
         self._by_worker |= dict.fromkeys(times, reservation)
         if previous is None:
             self._log(reservation, next_ms, now_ms)
