--- a/soak/src/thymefork_soak/main.py
+++ b/soak/src/thymefork_soak/main.py
@@ -100,10 +100,10 @@
         rooms = CapacityChanges(
             fleet=fleet, random=random.Random(f"{seed} rooms"), workers=WORKERS
         )
-        spoiler = EntryCorrupter(
+        corrupter = EntryCorrupter(
             fleet=fleet, random=random.Random(f"{seed} spoiled"), workers=WORKERS
         )
-        askers = _askers(fleet, seed) if with_accounts else []
+        account_callers = _account_callers(fleet, seed) if with_accounts else []
         kept = [asyncio.ensure_future(caller.work()) for caller in long_running]
         until = SETTLE_S + seconds
         await asyncio.gather(
@@ -111,16 +111,20 @@
             plan.work_outages(until, now, random.Random(f"{seed} outages")),
             crashing.work(until, now),
             rooms.work(until, now),
-            spoiler.work(until, now),
+            corrupter.work(until, now),
             *(caller.work(until, now) for caller in callers),
-            *(asker.work(until, now) for asker in askers),
+            *(asker.work(until, now) for asker in account_callers),
         )
         (folder / "faults.txt").write_text("\n".join([*plan.done, ""]))
         callers += [*long_running, crashing]
-        broken = await _leave(long_running, kept)
+        violations = await _stop_long_running(long_running, kept)
         await asyncio.sleep(MARGIN_S)
-        broken += await _judge(fleet, callers, now)
-        broken += [line for asker in askers for line in getattr(asker, "broken", ())]
+        violations += await _check_jobs(fleet, callers, now)
+        violations += [
+            line
+            for asker in account_callers
+            for line in getattr(asker, "violations", ())
+        ]
     finally:
         fleet.stop()
     submitted_jobs = [
@@ -128,12 +132,12 @@
     ]
     accepted = sum(submitted.accepted for submitted in submitted_jobs)
     return (
-        broken,
+        violations,
         f"{len(submitted_jobs)} jobs, {accepted} accepted, {len(plan.done)} faults",
     )
 
 
-def _askers(fleet, seed):
+def _account_callers(fleet, seed):
     """Return what changes the accounts, and who asks by keys that may not serve."""
     parts = (AccountChanges, GuestCaller, StrangerCaller)
     return [
@@ -142,7 +146,7 @@
     ]
 
 
-async def _leave(long_running, kept):
+async def _stop_long_running(long_running, kept):
     """End the lasting jobs; return whether some could not be ended."""
     for caller in long_running:
         caller.leave()
@@ -152,7 +156,7 @@
     return [f"ACKS: {len(stuck)} lasting jobs are not ended"] if stuck else []
 
 
-async def _judge(fleet, callers, now):
+async def _check_jobs(fleet, callers, now):
     submitted_jobs = [
         (caller, submitted) for caller in callers for submitted in caller.submitted_jobs
     ]
@@ -167,14 +171,14 @@
         pending = left
         await asyncio.sleep(0.3)
     verdict = await fleet.control("verdict", {})
-    broken = list(verdict["broken"])
+    violations = list(verdict["broken"])
     if verdict["faults"]:
         # Without this, a fault that failed midway would excuse all that came after it.
         raise RuntimeError("faults are under way still: nothing cancelled was judged")
     started = set(verdict["started_jobs"])
     for _, submitted in submitted_jobs:
         if submitted.always_refused and submitted.job_id in started:
-            broken.append(
+            violations.append(
                 f"REFUSED: {submitted.job_id} ran; answers {submitted.answers}"
             )
         wanted = ("succeeded", "cancelled") if submitted.cancelled else ("succeeded",)
@@ -183,10 +187,10 @@
         if submitted.crashing:
             wanted = ("failed",)
         if submitted.accepted and submitted.state not in wanted:
-            broken.append(
+            violations.append(
                 f"LOST: {submitted.job_id} is {submitted.state or 'not answered'}"
             )
-    return broken
+    return violations
 
 
 def run(
@@ -200,7 +204,7 @@
 ):
     """Run the daemons among faults and print one verdict line."""
     folder = Path(tempfile.mkdtemp(prefix="thymefork-soak-"))
-    broken, seen = asyncio.run(
+    violations, seen = asyncio.run(
         soak(
             seed,
             seconds,
@@ -210,11 +214,11 @@
             is_heterogeneous=uneven,
         )
     )
-    for line in broken[:20]:
+    for line in violations[:20]:
         typer.echo(line)
-    word = "broken" if broken else "kept"
+    word = "broken" if violations else "kept"
     typer.echo(f"seed {seed}: promises {word}; {seen}; logs in {folder}")
-    raise typer.Exit(1 if broken else 0)
+    raise typer.Exit(1 if violations else 0)
 
 
 def main():
