--- a/packages/thymefork-cells/src/thymefork_cells/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/__init__.py
@@ -8,20 +8,20 @@
 from .jobs.codec import decode_spec, encode_spec
 from .reports import EndRow, HeardEnd, RunRow, WorkerReport
 from .state import LONG_CALL_MS, AdviceSlots
-from .workers.orders import OrderAnswer, Refusal
+from .workers.commands import CommandAnswer, Refusal
 
 __all__ = [
+    "LONG_CALL_MS",
+    "STALE_MS",
+    "TELL_AGAIN_MS",
     "AdviceSlots",
     "Cell",
+    "CommandAnswer",
     "EndRow",
     "HeardEnd",
-    "LONG_CALL_MS",
     "LearnedSpeed",
-    "OrderAnswer",
     "Refusal",
     "RunRow",
-    "STALE_MS",
-    "TELL_AGAIN_MS",
     "WorkerReport",
     "cell_of",
     "decode_spec",
--- a/packages/thymefork-cells/src/thymefork_cells/cell.py
+++ b/packages/thymefork-cells/src/thymefork_cells/cell.py
@@ -17,16 +17,16 @@
 from .placing.preemptor import Preemptor
 from .placing.reservations import Reservations
 from .placing.trials import Trials
-from .workers.gang_watch import GangWatch
-from .workers.lives import LifeVerdict, Lives
-from .workers.long_holds import LongHolds
-from .workers.looks import Looks
-from .workers.orders import Orders, Refusal
-from .workers.pacing import Pacing
+from .workers.commands import CommandTracker, Refusal
+from .workers.extended_leases import ExtendedLeases
+from .workers.gang_monitor import GangMonitor
+from .workers.incarnations import IncarnationMatch, IncarnationTracker
+from .workers.pacing import PaceController
+from .workers.progress_monitor import ProgressMonitor
 from .workers.quorum import Quorum
-from .workers.roster import Roster
-from .workers.watch import Watch
 from .workers.worker_losses import WorkerLosses
+from .workers.worker_poller import WorkerPoller
+from .workers.worker_registry import WorkerRegistry
 
 __all__ = ["Cell"]
 
@@ -65,20 +65,22 @@
         self.inherited_ends = InheritedEnds(
             context=self.context, lifecycle=self.lifecycle
         )
-        self.looks = Looks(
+        self.looks = WorkerPoller(
             context=self.context,
             lifecycle=self.lifecycle,
             losses=self.losses,
             unstored_ends=self.unstored_ends,
         )
-        self.long_holds = LongHolds(context=self.context)
-        self.lives = Lives(
+        self.long_holds = ExtendedLeases(context=self.context)
+        self.lives = IncarnationTracker(
             context=self.context,
             lifecycle=self.lifecycle,
             losses=self.losses,
             long_holds=self.long_holds,
         )
-        self.roster = Roster(context=self.context, losses=self.losses, lives=self.lives)
+        self.registry = WorkerRegistry(
+            context=self.context, losses=self.losses, lives=self.lives
+        )
         self.shares = Shares(context=self.context)
         self.parts = PartsLedger(context=self.context)
         self.quotas = Quotas(context=self.context, parts=self.parts)
@@ -97,13 +99,13 @@
             lifecycle=self.lifecycle,
             losses=self.losses,
             shares=self.shares,
-            worker_of=self.roster.ghost,
+            worker_of=self.registry.get_or_add_placeholder,
         )
         forecast = RoomForecast(context=self.context, images=self.images)
         self.advice = AdviceDesk(
             context=self.context, images=self.images, speeds=self.speeds
         )
-        self.orders = Orders(
+        self.orders = CommandTracker(
             context=self.context,
             lifecycle=self.lifecycle,
             looks=self.looks,
@@ -123,11 +125,11 @@
             quotas=self.quotas,
             speeds=self.speeds,
         )
-        self.watch = Watch(
+        self.watch = ProgressMonitor(
             context=self.context, lifecycle=self.lifecycle, images=self.images
         )
-        self.gang_watch = GangWatch(context=self.context, lifecycle=self.lifecycle)
-        self.pacing = Pacing(context=self.context)
+        self.gang_watch = GangMonitor(context=self.context, lifecycle=self.lifecycle)
+        self.pacing = PaceController(context=self.context)
 
     @property
     def journal(self):
@@ -145,7 +147,7 @@
     def load(self, records, *, epoch_ms, now_ms):
         """Bring the cell to the stored state; `records` maps keys to values."""
         self._loader.load(records, epoch_ms=epoch_ms, now_ms=now_ms)
-        self.long_holds.load(records, self.roster.ghost, now_ms)
+        self.long_holds.load(records, self.registry.get_or_add_placeholder, now_ms)
         self.parts.load(records)
         self.quorum.inherit(now_ms)
 
@@ -159,14 +161,14 @@
 
     def turn(self, now_ms):
         """Do all that is due; return when the next turn is due at the latest."""
-        self.unstored_ends.tell_if_late(now_ms)
+        self.unstored_ends.announce_if_late(now_ms)
         if now_ms >= self._review_due_ms:
             self._review_due_ms = now_ms + REVIEW_MS
             self.quorum.check(now_ms)
-            self.roster.expire(now_ms)
+            self.registry.expire(now_ms)
             self.long_holds.review(now_ms)
-            self.orders.check_doubts(now_ms)
-            self.orders.note_overdue_stops(now_ms)
+            self.orders.stop_unconfirmed_starts(now_ms)
+            self.orders.log_overdue_stops(now_ms)
             self.speed_learner.review(now_ms)
             self.watch.check(now_ms)
             self.gang_watch.check(now_ms)
@@ -241,15 +243,15 @@
         if worker.is_over:
             return
         born_epoch_ms = report.born_epoch_ms
-        verdict = self.lives.judge_listing(worker, born_epoch_ms, now_ms)
-        if verdict is LifeVerdict.NEXT:
-            entry = self.lives.stand_in_entry(worker)
+        verdict = self.lives.match_report(worker, born_epoch_ms, now_ms)
+        if verdict is IncarnationMatch.NEXT:
+            entry = self.lives.placeholder_entry(worker)
             self.lives.begin(
                 worker, entry=entry, born_epoch_ms=born_epoch_ms, now_ms=now_ms
             )
-        elif verdict is LifeVerdict.EARLIER:
-            self.lives.count_set_aside(born_epoch_ms)
-            self.looks.on_miss(worker, quick=quick, now_ms=now_ms)
+        elif verdict is IncarnationMatch.EARLIER:
+            self.lives.count_ignored_report(born_epoch_ms)
+            self.looks.on_poll_unanswered(worker, quick=quick, now_ms=now_ms)
         else:
             self._apply_report(worker, report, last_end, quick, now_ms)
 
@@ -265,4 +267,4 @@
     def on_other_life(self, worker, *, now_ms):
         """Apply that another life of a worker answers at its address."""
         worker.looking = worker.looking_quickly = False
-        self.roster.end_life(worker, "another life answers there", now_ms=now_ms)
+        self.registry.end_life(worker, "another life answers there", now_ms=now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
@@ -99,7 +99,7 @@
     def give_up(self, job_id, *, now_ms):
         """Refuse a new job that no append has held, as its caller's time is over."""
         journal = self._context.journal
-        if not journal.is_untaken(job_id):
+        if not journal.is_unsent(job_id):
             return
         self.withdraw([self._context.jobs[job_id]], now_ms=now_ms)
         journal.forget({job_id})
@@ -125,7 +125,7 @@
         job = self._context.jobs.get(job_id)
         return job is not None and job.shown_state is not None
 
-    def has_seen(self, job_id):
+    def has_job(self, job_id):
         """Tell whether a job of that id is stored, or about to be."""
         return job_id in self._context.jobs
 
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/lifecycle.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/lifecycle.py
@@ -244,7 +244,7 @@
             has_address = bool(run.worker.entry.host)
             self._context.count("stops", "owed" if has_address else "no_address")
 
-    def stop_again(self, run, *, now_ms):
+    def resend_stop(self, run, *, now_ms):
         """Have a run stopped that goes on though its stop was answered."""
         run.stop_clock_ms = 0
         run.stop_due_ms = now_ms
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/unstored_ends.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/unstored_ends.py
@@ -11,11 +11,11 @@
 from ..effects import TellEnds
 from ..reports import HeardEnd
 
-__all__ = ["TELL_AFTER_MS", "UnstoredEnds"]
+__all__ = ["ANNOUNCE_AFTER_MS", "UnstoredEnds"]
 
 # An end is stored within 30 ms and an append, 40 ms in all; one that waits for five
 # times as long says that the store is slow or away, and is told with all that wait.
-TELL_AFTER_MS = 200.0
+ANNOUNCE_AFTER_MS = 200.0
 
 
 @frozen(kw_only=True)
@@ -57,15 +57,15 @@
         stored = heard[: len(heard) - len(waiting)]
         for row in stored:
             self._untold.pop((worker.life, row.number), None)
-        late = [row for row in stored if row.heard_ms < now_ms - TELL_AFTER_MS]
+        late = [row for row in stored if row.heard_ms < now_ms - ANNOUNCE_AFTER_MS]
         self._note("ends_stored_late", late, now_ms)
 
-    def tell_if_late(self, now_ms):
+    def announce_if_late(self, now_ms):
         """Tell the ends that wait, once the first of them has waited too long."""
         first_ms = min(
             (rows[0].heard_ms for rows in self._heard.values()), default=now_ms
         )
-        if now_ms - first_ms > TELL_AFTER_MS:
+        if now_ms - first_ms > ANNOUNCE_AFTER_MS:
             self.tell(now_ms)
 
     def tell(self, now_ms):
--- a/packages/thymefork-cells/src/thymefork_cells/placing/trials.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placing/trials.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from ..state import Trial, are_alike
-from ..workers.worker_losses import MOST_CRASHES, MOST_LOSSES, trial_ms
+from ..workers.worker_losses import MAX_CRASHES, MAX_LOSSES, clearing_time_ms
 from .worker_choice import DOUBT_PENALTY, REMOTE_PENALTY
 
 __all__ = ["APART_AFTER", "Trials"]
@@ -38,7 +38,7 @@
     @staticmethod
     def is_ready(task, now_ms):
         """Tell whether a suspected task may be started at all."""
-        if len(task.losses) < MOST_CRASHES or not are_alike(task.losses.values()):
+        if len(task.losses) < MAX_CRASHES or not are_alike(task.losses.values()):
             return True
         return now_ms - task.lost_ms > WORD_PATIENCE_MS
 
@@ -72,7 +72,7 @@
         """Keep other jobs off a worker while a task that has to run apart is tried."""
         if not _has_to_run_apart([task], now_ms):
             return
-        until_ms = now_ms + trial_ms(task)
+        until_ms = now_ms + clearing_time_ms(task)
         if worker.trial is not None and worker.trial.job is task.step.job:
             until_ms = max(until_ms, worker.trial.until_ms)
         worker.trial = Trial(job=task.step.job, until_ms=until_ms)
@@ -94,7 +94,7 @@
 
 
 def _has_to_be_alone(task, now_ms):
-    if len(task.losses) >= MOST_LOSSES - 1:
+    if len(task.losses) >= MAX_LOSSES - 1:
         return True  # the next loss decides, whoever stands beside it
     return task.suspicion(now_ms) >= APART_AFTER and are_alike(task.losses.values())
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_batches_under_way.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_concurrent_appends.py
@@ -145,7 +145,7 @@
     journal.after("told")
     assert appends.send().effects == ["told"]
     appends.give_back()
-    monkeypatch.setattr(journal_module, "MOST_BATCH_BYTES", 0)
+    monkeypatch.setattr(journal_module, "MAX_BATCH_BYTES", 0)
     harness.job(JOB).state = harness.job(OTHER).state = JobState.RUNNING
     assert "told" not in appends.send().effects
     assert "told" in appends.send().effects
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_long_holds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
@@ -11,14 +11,14 @@
 
 from thymefork_cells.specs import Bounds
 from thymefork_cells.state import JobState
-from thymefork_cells.workers.long_holds import HOLD_KEY, LATE_MS
+from thymefork_cells.workers.extended_leases import EXTENDED_LEASE_KEY, LATE_MS
 
 from .harness import job_spec
 from .run_rules import twice_run
 
 JOB = "00000000000000aa"
 NEXT_JOB = "00000000000000bb"
-RECORD = f"{HOLD_KEY}w0"
+RECORD = f"{EXTENDED_LEASE_KEY}w0"
 
 
 ONE_EACH = {"count": 4, "cpu_milli": 8_000}
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crashes_at_random.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
@@ -6,7 +6,7 @@
 
 from thymefork_cells.effects import StartRun
 from thymefork_cells.state import JobState
-from thymefork_cells.workers.worker_losses import MOST_LOSSES
+from thymefork_cells.workers.worker_losses import MAX_LOSSES
 
 from .harness import Harness, job_spec
 from .test_trials import THREE_HALLS, crash_by, reachable, set_work_ms
@@ -71,7 +71,7 @@
         harness.dead = True
         harness.run(300)
         harness.take_over()
-    elif kind == "crash" and len(harness.crashes) < MOST_LOSSES:
+    elif kind == "crash" and len(harness.crashes) < MAX_LOSSES:
         harness.crash(rng.choice(reachable(harness)))
     elif kind == "cut" and len(reachable(harness)) > 12:
         rng.choice(reachable(harness)).cut = True
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_stored_lives.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_stored_incarnations.py
@@ -22,7 +22,9 @@
     """Bring the job of a task to stored progress; return its runs and losses."""
     task.runs.clear()
     task.losses.clear()
-    decode_progress(harness.job(JOB), data, harness.cell.roster.ghost)
+    decode_progress(
+        harness.job(JOB), data, harness.cell.registry.get_or_add_placeholder
+    )
     return task.runs, list(task.losses.values())
 
 
@@ -80,6 +82,6 @@
     task.losses.clear()
     for data, wanted in ((before, {}), (with_losses, {loss.life})):
         task.runs.clear()
-        decode_progress(job, data, harness.cell.roster.ghost)
+        decode_progress(job, data, harness.cell.registry.get_or_add_placeholder)
         assert set(task.losses) == set(wanted)
     assert encode_progress(job) == with_losses
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_trials.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_trials.py
@@ -2,9 +2,12 @@
 
 import pytest
 
-from thymefork_cells import OrderAnswer, Refusal
+from thymefork_cells import CommandAnswer, Refusal
 from thymefork_cells.state import JobState, Loss
-from thymefork_cells.workers.worker_losses import SHORTEST_TRIAL_MS, SOUND_MS
+from thymefork_cells.workers.worker_losses import (
+    MAX_CLEARING_TIME_MS,
+    MIN_CLEARING_TIME_MS,
+)
 
 from .harness import job_spec
 
@@ -247,7 +250,7 @@
     harness.run(30)
     task = harness.job(INNOCENT).steps[0].tasks[0]
     (run,) = task.runs
-    answer = OrderAnswer(refusal=Refusal.OTHER_LIFE)
+    answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
     harness.cell.on_start(run, answer, now_ms=harness.now)
     assert not task.losses
     assert run not in task.runs
@@ -257,7 +260,7 @@
     harness = make_harness(workers=6, **THREE_HALLS)
     set_work_ms(harness, 120_000.0)
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
-    for proof_ms in (SHORTEST_TRIAL_MS, 23_000.0):  # the second was at work for 11 s
+    for proof_ms in (MIN_CLEARING_TIME_MS, 23_000.0):  # the second was at work for 11 s
         harness.run(1_000)
         crash_where(harness, INNOCENT)
         harness.run(3_700)
@@ -273,7 +276,7 @@
     lasting = {"count": 1, "cpu_milli": 500, "long_running": True}
     harness.submit(INNOCENT, job_spec(lasting))
     for _ in range(5):
-        harness.run(SOUND_MS + 5_000)
+        harness.run(MAX_CLEARING_TIME_MS + 5_000)
         crash_where(harness, INNOCENT)
         harness.run(4_000)
         assert not losses(harness)
@@ -302,7 +305,7 @@
     task = harness.job(INNOCENT).steps[0].tasks[0]
     task.losses["w"] = Loss(worker_id="w", after_ms=7, is_certain=True)
     task.runs[0].began_ms = 0.0
-    harness.cell.losses.on_listed(task.runs[0], harness.now)
+    harness.cell.losses.on_run_reported(task.runs[0], harness.now)
     assert task.losses
 
 
@@ -312,4 +315,4 @@
     harness.submit(CRASHING, job_spec({"count": 3, "cpu_milli": 500}))
     harness.run(40_000)
     assert harness.job(CRASHING).shown_state is JobState.FAILED
-    assert not harness.cell.losses.awaited_count
+    assert not harness.cell.losses.unresolved_worker_count
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_restarts_under_an_id.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_worker_restarts.py
@@ -30,7 +30,7 @@
 
 from thymefork_cells.effects import LookAt, StartRun, StopRun
 from thymefork_cells.state import JobState
-from thymefork_cells.workers.worker_losses import MOST_CRASHES
+from thymefork_cells.workers.worker_losses import MAX_CRASHES
 
 from .harness import job_spec
 from .run_rules import longest_absence_ms, twice_run
@@ -217,7 +217,7 @@
     runs = [run for worker in harness.workers.values() for run in worker.history]
     crashes = Counter(run.task for run in runs if not run.is_noted)
     crashes.update(harness.carrier.starts_unanswered)
-    assert all(crashes[task] >= MOST_CRASHES for task in judged), judged
+    assert all(crashes[task] >= MAX_CRASHES for task in judged), judged
     return {task.split(".")[0] for task in judged}
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/orders.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
@@ -6,10 +6,10 @@
 
 from ..effects import StopRun
 from ..state import RunState
-from .listings import DOUBT_REASON
-from .stop_order import in_stop_order
+from .run_reconciler import UNANSWERED_START_REASON
+from .stop_priority import sort_by_stop_priority
 
-__all__ = ["OrderAnswer", "Orders", "Refusal"]
+__all__ = ["CommandAnswer", "CommandTracker", "Refusal"]
 
 # A stop that got no answer is sent again after this long. The task can't be started
 # elsewhere before it is answered, so it is asked again soon; the wait for the answer
@@ -44,14 +44,14 @@
 
 
 @frozen(kw_only=True)
-class OrderAnswer:
+class CommandAnswer:
     """Hold a worker's answer to an order; `clock_ms` is on the worker's clock."""
 
     refusal: Refusal = Refusal.NONE
     clock_ms: int = 0
 
 
-class Orders:
+class CommandTracker:
     """Follow each start and stop until its outcome is certain."""
 
     def __init__(self, *, context, lifecycle, looks, advice):
@@ -148,7 +148,7 @@
             self._context.count("retries", "start_unanswered")
             run.doubted_ms = now_ms
             run.worker.doubted_ms = now_ms
-            self._looks.doubt_hall(run.worker, now_ms)
+            self._looks.suspect_hall(run.worker, now_ms)
 
     def _refused(self, run, refusal, now_ms):
         worker, step = run.worker, run.task.step
@@ -186,12 +186,12 @@
         else:
             run.stop_due_ms = now_ms + STOP_AGAIN_MS
 
-    def check_doubts(self, now_ms):
+    def stop_unconfirmed_starts(self, now_ms):
         """Have the runs stopped that were in doubt for too long."""
         for worker in self._context.workers.values():
             for run in list(worker.runs.values()):
                 if run.is_doubted and now_ms - run.doubted_ms > DOUBT_MS:
-                    self._lifecycle.stop(run, DOUBT_REASON, now_ms=now_ms)
+                    self._lifecycle.stop(run, UNANSWERED_START_REASON, now_ms=now_ms)
 
     def send_stops(self, now_ms):
         """Send the stops that are owed and due to the workers that have an address."""
@@ -200,14 +200,14 @@
             for run in self._context.owed_stops
             if run.worker.entry.host and now_ms >= run.stop_due_ms
         ]
-        for run in in_stop_order(due, self._context.live_jobs.values()):
+        for run in sort_by_stop_priority(due, self._context.live_jobs.values()):
             if run.stop_tries:
                 self._context.count("retries", "stop_unanswered")
             run.stop_tries += 1
             run.stop_due_ms = now_ms + STOP_LOST_MS
             self._context.emit(StopRun(run=run))
 
-    def note_overdue_stops(self, now_ms):
+    def log_overdue_stops(self, now_ms):
         """Tell once of each run that is still there long after its stop was due."""
         owed_before_ms = now_ms - STOP_OVERDUE_MS - self._context.bounds.stop_timeout_ms
         for run in self._runs_to_stop():
--- a/packages/thymefork-cells/src/thymefork_cells/workers/lives.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
@@ -12,13 +12,13 @@
 
 from ..state import Run, RunState, Worker
 
-__all__ = ["LifeVerdict", "Lives"]
+__all__ = ["IncarnationMatch", "IncarnationTracker"]
 
 # Workers that come back under another id leave their old one behind.
 MOST_REMEMBERED = 10_000
 
 
-class LifeVerdict(Enum):
+class IncarnationMatch(Enum):
     """Tell which life of a worker is spoken of."""
 
     SAME = auto()
@@ -26,7 +26,7 @@
     EARLIER = auto()
 
 
-class Lives:
+class IncarnationTracker:
     """Tell a worker's lives apart, and go from one to the next."""
 
     def __init__(self, *, context, lifecycle, losses, long_holds):
@@ -56,29 +56,29 @@
             worker.born_epoch_ms = born_epoch_ms  # the first word of it
             worker.number = self.number(worker.worker_id, born_epoch_ms)
         if born_epoch_ms == worker.born_epoch_ms:
-            return LifeVerdict.SAME
+            return IncarnationMatch.SAME
         if born_epoch_ms > worker.born_epoch_ms:
-            return LifeVerdict.NEXT
-        return LifeVerdict.EARLIER
+            return IncarnationMatch.NEXT
+        return IncarnationMatch.EARLIER
 
-    def judge_entry(self, worker, entry):
+    def match_entry(self, worker, entry):
         """Tell which life an entry is of; one may tell its start in listings alone."""
         if not entry.born_epoch_ms and not worker.entry.born_epoch_ms:
-            return LifeVerdict.SAME
+            return IncarnationMatch.SAME
         return self.judge(worker, entry.born_epoch_ms)
 
-    def judge_listing(self, worker, born_epoch_ms, now_ms):
+    def match_report(self, worker, born_epoch_ms, now_ms):
         """Tell which life a listing comes from.
 
         Where the worker's time of day was set back, its next life begins before the
         one that is followed. That is believed once nothing can run there any more.
         """
         verdict = self.judge(worker, born_epoch_ms)
-        if verdict is not LifeVerdict.EARLIER or not born_epoch_ms or worker.runs:
+        if verdict is not IncarnationMatch.EARLIER or not born_epoch_ms or worker.runs:
             return verdict
-        return verdict if now_ms <= worker.runs_until_ms else LifeVerdict.NEXT
+        return verdict if now_ms <= worker.runs_until_ms else IncarnationMatch.NEXT
 
-    def count_set_aside(self, born_epoch_ms):
+    def count_ignored_report(self, born_epoch_ms):
         """Count a listing that is not of the life that is followed."""
         reason = "earlier_life" if born_epoch_ms else "life_untold"
         self._context.count("looks", reason)
@@ -96,7 +96,7 @@
         worker.is_over = True
         successor = self._successor(worker, entry, born_epoch_ms, now_ms)
         self._context.workers[worker.worker_id] = successor
-        self._losses.on_life_over(worker, now_ms=now_ms)
+        self._losses.on_incarnation_over(worker, now_ms=now_ms)
         self._drop_tickets(worker.worker_id)
         self._end_runs(worker, successor, now_ms)
         self._context.needs_plan = True
@@ -138,10 +138,10 @@
             look_due_ms=now_ms,
             slowness=worker.slowness,
         )
-        self._long_holds.on_next_life(worker, successor, now_ms)
+        self._long_holds.on_next_incarnation(worker, successor, now_ms)
         return successor
 
-    def stand_in_entry(self, worker):
+    def placeholder_entry(self, worker):
         """Return what is known of a next life whose own entry was not read yet.
 
         Its machine may have been given another kind or room since: it gets nothing.
--- a/packages/thymefork-cells/src/thymefork_cells/workers/pacing.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/pacing.py
@@ -2,9 +2,9 @@
 
 from ..effects import PaceRun
 from ..state import RunState
-from .orders import Refusal
+from .commands import Refusal
 
-__all__ = ["Pacing"]
+__all__ = ["PaceController"]
 
 # A task is held back further once a neighbour's tail reaches this share of its target,
 # and let go a step below the second share.
@@ -18,7 +18,7 @@
 PACE_LOST_MS = 500.0
 
 
-class Pacing:
+class PaceController:
     """Bring each filling run to the pace that its neighbours bear.
 
     A pace is wanted until its worker has taken it: after a lost order, under a new
--- a/packages/thymefork-cells/src/thymefork_cells/workers/watch.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/progress_monitor.py
@@ -2,7 +2,7 @@
 
 from ..state import RunState
 
-__all__ = ["Watch"]
+__all__ = ["ProgressMonitor"]
 
 # A run whose progress has not changed for this long while its worker answers stands
 # still. Progress is told in whole percent, so for tasks over 50 s it is this share of
@@ -18,7 +18,7 @@
 FRESH_MS = 900.0
 
 
-class Watch:
+class ProgressMonitor:
     """Stop what stands still; move what would end sooner elsewhere."""
 
     def __init__(self, *, context, lifecycle, images):
--- a/packages/thymefork-cells/src/thymefork_cells/workers/listings.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
@@ -3,15 +3,15 @@
 from ..effects import StopRun, StrayRun
 from ..state import RunState
 
-__all__ = ["DOUBT_REASON", "Listings"]
+__all__ = ["UNANSWERED_START_REASON", "RunReconciler"]
 
-DOUBT_REASON = "its start was not answered"
+UNANSWERED_START_REASON = "its start was not answered"
 # A stop is carried out within its bound of the answer. A run that is listed after this
 # many times as long, by the worker's own clock, has to be stopped once more.
 IN_VAIN_FACTOR = 2.0
 
 
-class Listings:
+class RunReconciler:
     """Apply what a worker lists to the runs that are counted on it."""
 
     def __init__(self, *, context, lifecycle, losses, unstored_ends):
@@ -94,11 +94,11 @@
             elif run.stop_reason:
                 self._lifecycle.stop(run, run.stop_reason, now_ms=now_ms)
         if self._stop_was_in_vain(run, clock_ms):
-            self._lifecycle.stop_again(run, now_ms=now_ms)
+            self._lifecycle.resend_stop(run, now_ms=now_ms)
         if row.checkpoint:
             run.task.checkpoint = row.checkpoint
         if run.task.losses:
-            self._losses.on_listed(run, now_ms)
+            self._losses.on_run_reported(run, now_ms)
         if run.first_percent < 0:
             run.first_percent, run.first_listed_ms = row.percent, now_ms
         if row.percent != run.percent:
@@ -122,14 +122,14 @@
         bound_ms = IN_VAIN_FACTOR * self._context.bounds.stop_timeout_ms
         return clock_ms > run.stop_clock_ms + bound_ms
 
-    def settle_absent(self, worker, report, asked_ms, now_ms):
+    def release_missing(self, worker, report, asked_ms, now_ms):
         """Release the runs that the worker neither runs nor will ever run."""
         gone_with_life = []
         for run in list(worker.runs.values()):
             if run.listed_ms == now_ms:
                 continue
             if run.is_doubted and run.doubted_ms <= asked_ms:
-                self._lifecycle.stop(run, DOUBT_REASON, now_ms=now_ms)
+                self._lifecycle.stop(run, UNANSWERED_START_REASON, now_ms=now_ms)
             elif run.is_of_earlier_life and run.state is RunState.RECOVERED:
                 gone_with_life.append(run)
             elif self._is_gone(run, report.clock_ms):
--- a/packages/thymefork-cells/src/thymefork_cells/workers/looks.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
@@ -1,9 +1,9 @@
 """When to ask a worker what it runs, and what its answer, or silence, means."""
 
 from ..effects import EndsStored, LookAt
-from .listings import Listings
+from .run_reconciler import RunReconciler
 
-__all__ = ["Looks"]
+__all__ = ["WorkerPoller"]
 
 # A worker is asked to hold its answer this long: each answer renews all leases
 # there, and the lease below has to outlast two missed ones.
@@ -12,7 +12,7 @@
 # takeover, and no longer, since a silent worker's tasks wait for its end.
 LEASE_MS = 3_000.0
 # A worker's steady clock may be 2% slow; its lease then ends that much later.
-CLOCK_DRIFT = 1.025
+CLOCK_DRIFT_FACTOR = 1.025
 # While an order is being settled, looks do not wait and follow this soon.
 SETTLE_MS = 40.0
 # A stop takes up to 400 ms on its worker, and the look that waits there tells its end.
@@ -32,21 +32,21 @@
 # Leases are renewed only by looks that follow an answered one, so that the tasks of a
 # worker that falls silent can be started elsewhere soon. After this many misses in a
 # row it counts as silent.
-MISSES_TO_SUSPECT = 2
+MAX_UNANSWERED_POLLS = 2
 # A worker that has answered is checked for a due look in the next turn. All workers are
 # checked this often, for what changes elsewhere, since hundreds of them in each turn
 # are most of what deciding takes.
 SCAN_MS = 20.0
 
 
-class Looks:
+class WorkerPoller:
     """Schedule looks and apply what they bring."""
 
     def __init__(self, *, context, lifecycle, losses, unstored_ends):
         self._context = context
         self._losses = losses
         self._unstored_ends = unstored_ends
-        self._listings = Listings(
+        self._listings = RunReconciler(
             context=context,
             lifecycle=lifecycle,
             losses=losses,
@@ -61,7 +61,7 @@
         worker.look_due_ms = min(worker.look_due_ms or now_ms, now_ms)
         self._changed[worker] = None
 
-    def doubt_hall(self, worker, now_ms):
+    def suspect_hall(self, worker, now_ms):
         """Ask a silent worker's neighbours whether they can be reached.
 
         A hall is cut off as a whole; until they answer, they get nothing new.
@@ -183,30 +183,30 @@
     def _wait_ms(self):
         return QUORUM_WAIT_MS if self._context.store_is_away else LOOK_WAIT_MS
 
-    def note_lease(self, worker, lease_ms, *, now_ms):
+    def record_lease(self, worker, lease_ms, *, now_ms):
         """Note a lease right before it is sent: it may be taken, even unanswered."""
-        until_ms = now_ms + lease_ms * CLOCK_DRIFT + LEASE_MARGIN_MS
+        until_ms = now_ms + lease_ms * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_MS
         worker.may_run_until_ms = max(worker.may_run_until_ms, until_ms)
         worker.leased_ms = now_ms
 
     # Answers -----------------------------------------------------------------
 
-    def on_miss(self, worker, *, quick, now_ms):
+    def on_poll_unanswered(self, worker, *, quick, now_ms):
         """Apply a look that got no answer."""
         if worker.is_over:
             return
         self._changed[worker] = None
         if quick:
             worker.looking_quickly = False
-            self.doubt_hall(worker, now_ms)
+            self.suspect_hall(worker, now_ms)
             return
         worker.looking = False
         worker.misses_in_row += 1
         worker.missed_ms = worker.missed_ms or now_ms
         again_ms = min(LOOK_AGAIN_MOST_MS, LOOK_AGAIN_MS * worker.misses_in_row)
         worker.look_due_ms = now_ms + again_ms
-        self.doubt_hall(worker, now_ms)
-        if worker.misses_in_row == MISSES_TO_SUSPECT:
+        self.suspect_hall(worker, now_ms)
+        if worker.misses_in_row == MAX_UNANSWERED_POLLS:
             self._context.note(
                 "worker_silent",
                 worker=worker.worker_id,
@@ -217,7 +217,7 @@
     def on_report(self, worker, report, last_end, *, quick=False, now_ms):
         """Apply what a worker lists."""
         self._changed[worker] = None
-        if worker.misses_in_row >= MISSES_TO_SUSPECT:
+        if worker.misses_in_row >= MAX_UNANSWERED_POLLS:
             self._context.note("worker_answers", worker=worker.worker_id)
         self._losses.on_answer(worker, now_ms=now_ms)
         if quick:
@@ -239,7 +239,7 @@
             worker.overtaken_in_row = 0
             worker.last_clock_ms = report.clock_ms
             self._listings.apply_running(worker, report, now_ms)
-            self._listings.settle_absent(worker, report, asked_ms, now_ms)
+            self._listings.release_missing(worker, report, asked_ms, now_ms)
         if not worker.is_known:
             worker.is_known = not worker.strays
             self._context.needs_plan = True
--- a/packages/thymefork-cells/src/thymefork_cells/workers/roster.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -3,17 +3,17 @@
 from ..hashing import cell_of
 from ..specs import WorkerEntry
 from ..state import Worker
-from .lives import LifeVerdict
-from .looks import MISSES_TO_SUSPECT
+from .incarnations import IncarnationMatch
+from .worker_poller import MAX_UNANSWERED_POLLS
 
-__all__ = ["Roster"]
+__all__ = ["WorkerRegistry"]
 
 # A worker that is no longer listed and runs nothing is forgotten this long after it
 # answered or lost its runs: until then its machine may tell that its life is over.
 FORGET_MS = 10_000.0
 
 
-class Roster:
+class WorkerRegistry:
     """Keep the workers of the cell."""
 
     def __init__(self, *, context, losses, lives):
@@ -22,7 +22,7 @@
         self._lives = lives
         self._over_lives = set()  # whose entries are still listed
 
-    def ghost(self, worker_id):
+    def get_or_add_placeholder(self, worker_id):
         """Return the worker of that id, or a stand-in without room for it."""
         worker = self._context.workers.get(worker_id)
         if worker is None:
@@ -84,10 +84,10 @@
             return
         if worker.entry == entry and worker.is_listed:
             return
-        verdict = self._lives.judge_entry(worker, entry)
-        if verdict is LifeVerdict.EARLIER:
+        verdict = self._lives.match_entry(worker, entry)
+        if verdict is IncarnationMatch.EARLIER:
             return  # the worker has started again, and its entry is still to come
-        if verdict is LifeVerdict.NEXT:
+        if verdict is IncarnationMatch.NEXT:
             worker = self._lives.begin(
                 worker, entry=entry, born_epoch_ms=entry.born_epoch_ms, now_ms=now_ms
             )
@@ -140,7 +140,7 @@
         self._context.note(
             "worker_gone", worker=worker.worker_id, reason=reason, runs=len(runs)
         )
-        self._losses.on_life_over(worker, now_ms=now_ms)
+        self._losses.on_incarnation_over(worker, now_ms=now_ms)
         if runs:
             self._context.count("run_ends", "worker_gone", len(runs))
             self._losses.lose(worker, runs, is_certain=True, now_ms=now_ms)
@@ -151,7 +151,9 @@
     def expire(self, now_ms):
         """Release the runs whose leases are over on workers that do not answer."""
         for worker in list(self._context.workers.values()):
-            silent = worker.misses_in_row >= MISSES_TO_SUSPECT or not worker.entry.host
+            silent = (
+                worker.misses_in_row >= MAX_UNANSWERED_POLLS or not worker.entry.host
+            )
             if worker.runs and silent and now_ms > worker.runs_until_ms:
                 self._expire_runs(worker, now_ms)
             unlisted = not worker.is_listed and not worker.runs
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -212,7 +212,7 @@
             advice_slots=self._advisers.wanted_slots,
             load_watch=self._daemon.owner_load,
         )
-        cell.roster.update(self._daemon.worker_list.entries.values(), now_ms=now_ms)
+        cell.registry.update(self._daemon.worker_list.entries.values(), now_ms=now_ms)
         heard = self._daemon.heard_ends.before(self.cell_index, self.epoch)
         cell.inherited_ends.apply(heard, now_ms=now_ms)
         speeds = self._daemon.learned_speeds.of(self.cell_index)
@@ -222,7 +222,7 @@
         self._log("ownership_gained").bind(
             records=len(records),
             jobs=len(cell.context.jobs),
-            unlisted_workers=cell.roster.unlisted_count,
+            unlisted_workers=cell.registry.unlisted_count,
             after_ms=round(now_ms - self._began_ms),
         ).info("serving the cell")
         self.on_links()
@@ -255,7 +255,7 @@
         """Take the platform's list of workers."""
         if self._is_live:
             entries = self._daemon.worker_list.entries.values()
-            self.cell.roster.update(entries, now_ms=steady_ms())
+            self.cell.registry.update(entries, now_ms=steady_ms())
             self.settle()
 
     def on_configuration(self, configuration):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
@@ -3,7 +3,7 @@
 from functools import singledispatchmethod
 
 from thymefork_cells import Refusal, effects as fx
-from thymefork_cells.workers.looks import LEASE_MS
+from thymefork_cells.workers.worker_poller import LEASE_MS
 from thymefork_net import steady_ms
 
 __all__ = ["OrderSender"]
@@ -31,7 +31,7 @@
         if not self._cell.orders.may_start(run, now_ms):
             return
         worker, step = run.worker, run.task.step
-        self._cell.looks.note_lease(worker, LEASE_MS, now_ms=now_ms)
+        self._cell.looks.record_lease(worker, LEASE_MS, now_ms=now_ms)
         self._client.start(
             run=run,
             payload=step.job.spec.payload,
@@ -105,7 +105,7 @@
         deadline_ms = 0.0
         if effect.lease_ms and self._owner.may_renew():
             deadline_ms = worker.clock_ms(now_ms) + effect.lease_ms
-            self._cell.looks.note_lease(worker, effect.lease_ms, now_ms=now_ms)
+            self._cell.looks.record_lease(worker, effect.lease_ms, now_ms=now_ms)
         self._client.look(
             worker=worker,
             wait_ms=effect.wait_ms,
@@ -131,5 +131,7 @@
         elif result.refusal is Refusal.OTHER_LIFE:
             self._cell.on_other_life(worker, now_ms=now_ms)
         else:
-            self._cell.looks.on_miss(worker, quick=effect.quick, now_ms=now_ms)
+            self._cell.looks.on_poll_unanswered(
+                worker, quick=effect.quick, now_ms=now_ms
+            )
         self._owner.settle()
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
@@ -52,12 +52,12 @@
 
     def _bound_wait(self, job_id, patience_ms):
         """Have a job given up that no append has held by the end of a wait."""
-        if patience_ms > REPLY_MARGIN_MS and self._journal.is_untaken(job_id):
+        if patience_ms > REPLY_MARGIN_MS and self._journal.is_unsent(job_id):
             delay_ms = patience_ms - REPLY_MARGIN_MS
             self._timers.after(delay_ms, lambda: self._give_up(job_id))
 
     def _give_up(self, job_id):
-        if self._journal.is_untaken(job_id):
+        if self._journal.is_unsent(job_id):
             self._intake.give_up(job_id, now_ms=steady_ms())
             self._settle()
 
@@ -66,7 +66,7 @@
 
         No append has held these jobs, and none of this ownership will.
         """
-        for reply in self._journal.take_replies_of_untaken():
+        for reply in self._journal.take_replies_of_unsent():
             self._metrics.count("refusals", "given_back")
             line = logger.bind(event="job_withdrawn", job=reply.job_id)
             line.bind(reason="the cell was lost before").info("nothing was stored")
@@ -81,7 +81,7 @@
         if kind == "read":
             return self._intake.knows(job_id)
         if kind == "submit":
-            return self._intake.has_seen(job_id)
+            return self._intake.has_job(job_id)
         return kind == "count"
 
     def _refuse(self, respond):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
@@ -22,7 +22,7 @@
     def knows(self, job_id):
         return job_id == STORED
 
-    def has_seen(self, job_id):
+    def has_job(self, job_id):
         return job_id in (STORED, ON_ITS_WAY)
 
     def read(self, respond, job_id, *, account_name):
