--- a/packages/thymefork-cells/src/thymefork_cells/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/__init__.py
@@ -1,7 +1,7 @@
 """Decisions of a cell, without I/O: the same code runs live and in tests."""
 
 from .cell import Cell
-from .context import STALE_MS
+from .context import WORKER_LIST_MAX_AGE_MS
 from .estimates.speed_news import TELL_AGAIN_MS
 from .estimates.worker_speeds import LearnedSpeed
 from .hashing import cell_of
@@ -12,8 +12,8 @@
 
 __all__ = [
     "LONG_CALL_MS",
-    "STALE_MS",
     "TELL_AGAIN_MS",
+    "WORKER_LIST_MAX_AGE_MS",
     "AdviceSlots",
     "Cell",
     "CommandAnswer",
--- a/packages/thymefork-cells/src/thymefork_cells/cell.py
+++ b/packages/thymefork-cells/src/thymefork_cells/cell.py
@@ -1,6 +1,6 @@
 """One cell: a share of the workers of every hall and a share of the jobs."""
 
-from .accounts import PartExchange, PartsLedger, Quotas, Shares
+from .accounts import JobRateShares, PartExchange, PartsLedger, Quotas
 from .advice.desk import AdviceDesk
 from .context import CellContext
 from .estimates.images import ImageTimes
@@ -81,10 +81,10 @@
         self.registry = WorkerRegistry(
             context=self.context, losses=self.losses, lives=self.lives
         )
-        self.shares = Shares(context=self.context)
+        self.shares = JobRateShares(context=self.context)
         self.parts = PartsLedger(context=self.context)
         self.quotas = Quotas(context=self.context, parts=self.parts)
-        self.quotas.learn(configuration)
+        self.quotas.update_limits(configuration)
         self.exchange = PartExchange(
             context=self.context, ledger=self.parts, quotas=self.quotas
         )
@@ -154,12 +154,12 @@
     def on_configuration(self, configuration):
         """Take a newer configuration."""
         self.context.configuration = configuration
-        self.quotas.learn(configuration)
+        self.quotas.update_limits(configuration)
         self.context.needs_plan = True
 
     # Time --------------------------------------------------------------------
 
-    def turn(self, now_ms):
+    def run_cycle(self, now_ms):
         """Do all that is due; return when the next turn is due at the latest."""
         self.unstored_ends.announce_if_late(now_ms)
         if now_ms >= self._review_due_ms:
@@ -177,13 +177,13 @@
             self.context.needs_plan = True
         if self.context.needs_plan:
             self.placer.plan(now_ms)
-        parts_ms = self.exchange.turn(now_ms)
+        parts_ms = self.exchange.run_cycle(now_ms)
         self.orders.send_stops(now_ms)
         look_ms = self.looks.schedule(now_ms)
         return min(look_ms, parts_ms, self._review_due_ms)
 
     def _forget_ended(self, now_ms):
-        oldest_ms = now_ms - self.context.bounds.status_kept_ms * 1.5
+        oldest_ms = now_ms - self.context.bounds.status_retention_ms * 1.5
         for job in list(self.context.jobs.values()):
             if not job.is_live and job.ended_ms < oldest_ms and not job.runs:
                 del self.context.jobs[job.job_id]
@@ -194,7 +194,7 @@
     def on_stored(self, batch):
         """Show what an append has made lasting."""
         for job, state in batch.shown:
-            job.shown_state = state
+            job.visible_state = state
 
     def on_not_stored(self, batch, *, now_ms):
         """Refuse the new jobs of an append that the store has certainly not done."""
@@ -220,21 +220,21 @@
         if answer.refusal is Refusal.OTHER_LIFE:
             # This run never was on the life that is over, so it can't have ended it.
             self.lifecycle.release(run, now_ms=now_ms)
-            self.on_other_life(run.worker, now_ms=now_ms)
+            self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
         self.orders.on_start(run, answer, now_ms=now_ms)
 
     def on_stop(self, run, answer, *, now_ms):
         """Apply the answer to a stop."""
         if answer.refusal is Refusal.OTHER_LIFE:
-            self.on_other_life(run.worker, now_ms=now_ms)
+            self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
         self.orders.on_stop(run, answer, now_ms=now_ms)
 
     def on_pace(self, run, percent, answer, *, now_ms):
         """Apply the answer to an order to pace a run."""
         if answer.refusal is Refusal.OTHER_LIFE:
-            self.on_other_life(run.worker, now_ms=now_ms)
+            self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
         self.pacing.on_answer(run, percent, answer, now_ms=now_ms)
 
@@ -259,12 +259,12 @@
         ended = {(row.task, row.run_id) for row in report.ended if row.how == "done"}
         for key in ended:
             run = worker.runs.get(key)
-            if run is not None and run.was_seen_whole:
+            if run is not None and run.has_known_duration:
                 self.speed_learner.on_done(run, now_ms)
         self.long_holds.on_answer(worker, now_ms)
         self.looks.on_report(worker, report, last_end, quick=quick, now_ms=now_ms)
 
-    def on_other_life(self, worker, *, now_ms):
+    def on_other_incarnation(self, worker, *, now_ms):
         """Apply that another life of a worker answers at its address."""
-        worker.looking = worker.looking_quickly = False
+        worker.is_polling = worker.is_quick_polling = False
         self.registry.end_life(worker, "another life answers there", now_ms=now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
@@ -33,7 +33,7 @@
         elif _is_of_other(job, account_name):
             self._refuse_other(request_id, job, account_name)
             return
-        elif job.shown_state is not None:
+        elif job.visible_state is not None:
             self._lifecycle.reply(request_id, Outcome.ACCEPTED)
             return
         reply = Reply(request_id=request_id, outcome=Outcome.ACCEPTED, job_id=job_id)
@@ -123,7 +123,7 @@
     def knows(self, job_id):
         """Tell whether a job of that id is stored."""
         job = self._context.jobs.get(job_id)
-        return job is not None and job.shown_state is not None
+        return job is not None and job.visible_state is not None
 
     def has_job(self, job_id):
         """Tell whether a job of that id is stored, or about to be."""
@@ -132,21 +132,21 @@
     def read(self, request_id, job_id, *, account_name=""):
         """Tell a job's stored state."""
         job = self._context.jobs.get(job_id)
-        if job is None or job.shown_state is None:
+        if job is None or job.visible_state is None:
             self._lifecycle.reply(request_id, Outcome.UNKNOWN_JOB)
             return
         if _is_of_other(job, account_name):
             self._refuse_other(request_id, job, account_name)
             return
-        state = job.shown_state
-        if state is JobState.QUEUED and job.has_begun:
+        state = job.visible_state
+        if state is JobState.QUEUED and job.has_started:
             state = JobState.RUNNING
         self._lifecycle.reply(request_id, Outcome.STATE, state=str(state))
 
     def cancel(self, request_id, job_id, *, now_ms, account_name=""):
         """Cancel a job; answered once that is stored."""
         job = self._context.jobs.get(job_id)
-        if job is None or (job.shown_state and job.shown_state.is_final):
+        if job is None or (job.visible_state and job.visible_state.is_final):
             self._lifecycle.reply(request_id, Outcome.UNKNOWN_JOB)
             return
         if _is_of_other(job, account_name):
@@ -165,7 +165,7 @@
             1
             for job in self._context.live_jobs.values()
             if job.queue_name == queue_name
-            and job.shown_state is not None
+            and job.visible_state is not None
             and not job.has_run
         )
         self._lifecycle.reply(request_id, Outcome.COUNTED, count=count)
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
@@ -44,7 +44,7 @@
             epoch_ms=epoch_ms,
             now_ms=now_ms,
         )
-        job.shown_state = job.state
+        job.visible_state = job.state
         if progress is not None:
             decode_progress(job, progress, self._worker_of)
         return job
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
@@ -184,7 +184,7 @@
         elif is_new:
             value = store_job(job, epoch_ms=epoch_ms, now_ms=now_ms)
             batch.add(JOB_KEY + job.job_id, value)
-        if job.state is not JobState.QUEUED or job.has_begun:
+        if job.state is not JobState.QUEUED or job.has_started:
             batch.add(PROGRESS_KEY + job.job_id, encode_progress(job))
         batch.shown.append((job, job.state))
 
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/unstored_ends.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/unstored_ends.py
@@ -8,7 +8,7 @@
 
 from attrs import frozen
 
-from ..effects import TellEnds
+from ..effects import AnnounceEnds
 from ..reports import HeardEnd
 
 __all__ = ["ANNOUNCE_AFTER_MS", "UnstoredEnds"]
@@ -45,18 +45,18 @@
             checkpoint=row.checkpoint,
         )
         heard = _Heard(number=row.number, end=end, heard_ms=now_ms)
-        self._heard.setdefault(worker.life, []).append(heard)
-        self._untold[worker.life, row.number] = heard
+        self._heard.setdefault(worker.incarnation, []).append(heard)
+        self._untold[worker.incarnation, row.number] = heard
 
     def store(self, worker, last_end, *, now_ms):
         """Take note that a worker's ends are stored up to a number."""
-        heard = self._heard.pop(worker.life, [])
+        heard = self._heard.pop(worker.incarnation, [])
         waiting = [row for row in heard if row.number > last_end]
         if waiting:
-            self._heard[worker.life] = waiting
+            self._heard[worker.incarnation] = waiting
         stored = heard[: len(heard) - len(waiting)]
         for row in stored:
-            self._untold.pop((worker.life, row.number), None)
+            self._untold.pop((worker.incarnation, row.number), None)
         late = [row for row in stored if row.heard_ms < now_ms - ANNOUNCE_AFTER_MS]
         self._note("ends_stored_late", late, now_ms)
 
@@ -73,7 +73,7 @@
         untold, self._untold = list(self._untold.values()), {}
         if untold:
             self._note("ends_told", untold, now_ms)
-            self._context.emit(TellEnds(ends=tuple(row.end for row in untold)))
+            self._context.emit(AnnounceEnds(ends=tuple(row.end for row in untold)))
 
     def _note(self, event, rows, now_ms):
         """Log one line a job."""
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -203,9 +203,9 @@
 
     def take_store_away(self, for_ms):
         """Let an outage of the store pass, which the owner knows of."""
-        self.store_down = self.cell.context.store_is_away = True
+        self.store_down = self.cell.context.is_store_unavailable = True
         self.run(for_ms)
-        self.store_down = self.cell.context.store_is_away = False
+        self.store_down = self.cell.context.is_store_unavailable = False
 
     def list_workers(self, entries):
         """Let the owner read a list of workers."""
@@ -246,7 +246,7 @@
             free = self.advisers.capacity - self.advisers.count
             free -= len(self.advisers.queue)
             cell.context.advice_slots = AdviceSlots(any_call=free, long_call=free)
-        cell.turn(self.now)
+        cell.run_cycle(self.now)
 
     def _turn(self, cell):
         self._decide(cell)
@@ -283,9 +283,9 @@
             self.counts[effect.reason] += effect.amount
         elif isinstance(effect, fx.EndsStored):
             cell.looks.on_ends_stored(effect.worker, effect.last_end, now_ms=self.now)
-        elif isinstance(effect, fx.TellEnds):
+        elif isinstance(effect, fx.AnnounceEnds):
             self.told_ends += effect.ends
-        elif isinstance(effect, fx.TellSpeeds):
+        elif isinstance(effect, fx.AnnounceSpeeds):
             self.told_speeds |= {speed.machine: speed for speed in effect.speeds}
         elif isinstance(effect, fx.StartRun):
             if cell.orders.may_start(effect.run, self.now):
@@ -296,11 +296,11 @@
                 self.env.process(self.carrier.stop(cell, effect))
         elif isinstance(effect, fx.PaceRun):
             self.env.process(self.carrier.pace(cell, effect))
-        elif isinstance(effect, fx.LookAt):
+        elif isinstance(effect, fx.PollWorker):
             self.env.process(self.carrier.look(cell, effect))
         elif isinstance(effect, PARTS):
             self.owners.send(effect)
-        elif isinstance(effect, fx.AskAdvice):
+        elif isinstance(effect, fx.RequestAdvice):
             self.env.process(self._advise(cell, effect))
 
     def is_current(self, cell):
@@ -334,8 +334,8 @@
 
     def _advise(self, cell, effect):
         if self.advisers:
-            with self.advisers.request() as turn:
-                yield turn
+            with self.advisers.request() as run_cycle:
+                yield run_cycle
                 self.asked.append((effect.step.name, effect.worker_ids))
                 yield self.env.timeout(effect.cost_ms)
         else:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/order_carrier.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/order_carrier.py
@@ -130,7 +130,7 @@
             yield self._harness.env.timeout(self._harness.order_ms(effect))
             answer = worker.stop(*stop, self._harness.now)
             yield self._harness.env.timeout(self._harness.answer_ms(effect))
-        if self._harness.is_current(cell) and not isinstance(run, fx.StrayRun):
+        if self._harness.is_current(cell) and not isinstance(run, fx.OrphanedRun):
             cell.on_stop(run, answer, now_ms=self._harness.now)
 
     def pace(self, cell, effect):
@@ -175,7 +175,7 @@
         report = None
         if worker.is_replaced:
             if self._harness.is_current(cell):
-                cell.on_other_life(effect.worker, now_ms=self._harness.now)
+                cell.on_other_incarnation(effect.worker, now_ms=self._harness.now)
             return
         if not worker.cut:
             report = worker.look(*look, self._harness.now)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
@@ -65,7 +65,7 @@
     assert harness.runs_of("w0")
     harness.run(60_000)
     assert not twice_run(harness)
-    assert harness.job(NEXT_JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(NEXT_JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_nothing_starts_there_before_it_is_stored(make_harness):
@@ -125,7 +125,7 @@
     harness = make_harness(workers=1)
     harness.run(LATE_MS)
     followed = harness.cell.context.workers["w0"]
-    followed.leased_ms = harness.now - leased_ms_ago
+    followed.lease_sent_ms = harness.now - leased_ms_ago
     followed.asked_ms = harness.now
     (worker,) = harness.workers.values()
     harness.restart(worker, away_ms=50.0)
@@ -144,5 +144,5 @@
     replace_owner(harness)
     harness.run(1_000)
     assert RECORD in harness.store
-    assert harness.job(NEXT_JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(NEXT_JOB).visible_state is JobState.SUCCEEDED
     assert not twice_run(harness)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
@@ -31,11 +31,11 @@
     for job_id in bad:
         task = f"{job_id}.0.0.0"
         assert len(harness.starts_after_crashes(task, 3)) < 3, seed
-        assert harness.job(job_id).shown_state is JobState.FAILED, seed
+        assert harness.job(job_id).visible_state is JobState.FAILED, seed
     for job_id in good:
-        assert harness.job(job_id).shown_state is JobState.SUCCEEDED, seed
+        assert harness.job(job_id).visible_state is JobState.SUCCEEDED, seed
     for job_id in lasting:
-        assert harness.job(job_id).shown_state is JobState.RUNNING, seed
+        assert harness.job(job_id).visible_state is JobState.RUNNING, seed
 
 
 def _crashed(harness):
@@ -100,7 +100,7 @@
         for worker in rng.sample(reachable(harness), 6):
             harness.crash(worker)
     harness.run(40_000)
-    return [harness.job(job_id).shown_state for job_id in jobs]
+    return [harness.job(job_id).visible_state for job_id in jobs]
 
 
 @pytest.mark.parametrize(
--- a/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
@@ -82,7 +82,7 @@
 
         A gang starts as a whole, so what keeps one member keeps all of them.
         """
-        if self._context.is_list_stale(now_ms):
+        if self._context.is_worker_list_stale(now_ms):
             return "list_stale"
         if run.step.gang:
             obstacle = self._gang_obstacle(run, now_ms)
@@ -93,7 +93,7 @@
                 return "worker_restarted"
             if member.worker.entry.is_lapsed:
                 return "entry_lapsed"  # how much room it has now is not known
-            if member.worker.is_overfull:
+            if member.worker.is_overcommitted:
                 return "worker_shrank"
             if not self._advice.has_ticket(run.task.step, member.worker, now_ms):
                 return "ticket_lapsed"
@@ -146,8 +146,8 @@
         """Ask the worker whether a run is there; only an absent one is forbidden."""
         if run.state is RunState.SENT:
             self._context.count("retries", "start_unanswered")
-            run.doubted_ms = now_ms
-            run.worker.doubted_ms = now_ms
+            run.suspected_ms = now_ms
+            run.worker.suspected_ms = now_ms
             self._looks.suspect_hall(run.worker, now_ms)
 
     def _refused(self, run, refusal, now_ms):
@@ -161,7 +161,7 @@
         elif refusal is Refusal.UNWELL:
             worker.health.pause(now_ms)
         elif refusal is Refusal.OLD_RUN:
-            run.task.avoided.add(worker.worker_id)
+            run.task.avoided_workers.add(worker.worker_id)
         self._context.note(
             "start_refused",
             task=run.task.name,
@@ -178,7 +178,7 @@
         answered = answer.refusal in (Refusal.NONE, Refusal.REJECTED)
         if answered and answer.clock_ms:
             self._context.count("stops", "answered")
-            self._context.owed_stops.pop(run, None)
+            self._context.pending_stops.pop(run, None)
             run.stop_clock_ms = answer.clock_ms
             run.worker.stopped.add(run.key)
             run.worker.stop_answered_ms = now_ms
@@ -190,20 +190,20 @@
         """Have the runs stopped that were in doubt for too long."""
         for worker in self._context.workers.values():
             for run in list(worker.runs.values()):
-                if run.is_doubted and now_ms - run.doubted_ms > DOUBT_MS:
+                if run.is_suspect and now_ms - run.suspected_ms > DOUBT_MS:
                     self._lifecycle.stop(run, UNANSWERED_START_REASON, now_ms=now_ms)
 
     def send_stops(self, now_ms):
         """Send the stops that are owed and due to the workers that have an address."""
         due = [
             run
-            for run in self._context.owed_stops
+            for run in self._context.pending_stops
             if run.worker.entry.host and now_ms >= run.stop_due_ms
         ]
         for run in sort_by_stop_priority(due, self._context.live_jobs.values()):
-            if run.stop_tries:
+            if run.stop_attempts:
                 self._context.count("retries", "stop_unanswered")
-            run.stop_tries += 1
+            run.stop_attempts += 1
             run.stop_due_ms = now_ms + STOP_LOST_MS
             self._context.emit(StopRun(run=run))
 
@@ -211,7 +211,7 @@
         """Tell once of each run that is still there long after its stop was due."""
         owed_before_ms = now_ms - STOP_OVERDUE_MS - self._context.bounds.stop_timeout_ms
         for run in self._runs_to_stop():
-            if run.stop_owed_ms < owed_before_ms and not run.stop_is_overdue:
+            if run.stop_pending_since_ms < owed_before_ms and not run.stop_is_overdue:
                 run.stop_is_overdue = True
                 self._note_overdue(run, now_ms)
 
@@ -223,7 +223,7 @@
             for key in worker.stopped
             if key in worker.runs
         ]
-        return [*self._context.owed_stops, *answered]
+        return [*self._context.pending_stops, *answered]
 
     def _note_overdue(self, run, now_ms):
         worker = run.worker
@@ -235,7 +235,7 @@
             run=run.run_id,
             worker=worker.worker_id,
             reason=run.stop_reason,
-            for_ms=round(now_ms - run.stop_owed_ms),
+            for_ms=round(now_ms - run.stop_pending_since_ms),
             answered=run.stop_clock_ms > 0,
             worker_listed=worker.is_listed,
             worker_heard_ms_ago=worker.heard_ms_ago(now_ms),
--- a/packages/thymefork-cells/src/thymefork_cells/workers/extended_leases.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/extended_leases.py
@@ -27,7 +27,7 @@
 
     def on_next_incarnation(self, worker, successor, now_ms):
         """Count on a lease for a worker's life that its next one may have taken."""
-        if worker.leased_ms and now_ms - worker.leased_ms < LATE_MS:
+        if worker.lease_sent_ms and now_ms - worker.lease_sent_ms < LATE_MS:
             self.begin(successor, now_ms)
 
     def begin(self, worker, now_ms):
@@ -60,22 +60,22 @@
 
     def _count_on(self, worker, now_ms):
         until_ms = now_ms + max_lease_duration_ms(self._context.bounds.max_hold_ms)
-        worker.long_hold_until_ms = until_ms
+        worker.extended_lease_until_ms = until_ms
         worker.may_run_until_ms = max(worker.may_run_until_ms, until_ms)
 
     def on_answer(self, worker, now_ms):
         """Count from a life's first answer on: it refuses orders of before from now."""
         if worker.asked_ms:
             return
-        was_earlier = any(run.is_of_earlier_life for run in worker.runs.values())
-        if worker.long_hold_until_ms or was_earlier:
+        was_earlier = any(run.is_of_earlier_incarnation for run in worker.runs.values())
+        if worker.extended_lease_until_ms or was_earlier:
             self.begin(worker, now_ms)
 
     def review(self, now_ms):
         """Drop the records of what is over."""
         for worker_id in list(self._stored):
             worker = self._context.workers.get(worker_id)
-            if worker is None or now_ms > worker.long_hold_until_ms:
+            if worker is None or now_ms > worker.extended_lease_until_ms:
                 self._stored.discard(worker_id)
                 self._context.journal.put(EXTENDED_LEASE_KEY + worker_id, b"")
                 self._context.count("long_holds", "over")
--- a/packages/thymefork-cells/src/thymefork_cells/workers/gang_monitor.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/gang_monitor.py
@@ -56,7 +56,7 @@
             return "member_gone"
         if any(run.state is RunState.STOPPING for run in members):
             return "member_stopped"
-        if step.is_whole(members[0].run_id):
+        if step.is_gang_complete(members[0].run_id):
             return ""
         if now_ms - self._first_began_ms(sent, now_ms) > self._patience_ms:
             return "unconfirmed"
--- a/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
@@ -131,11 +131,11 @@
             entry=entry,
             born_epoch_ms=born_epoch_ms,
             number=self.number(worker.worker_id, born_epoch_ms),
-            known_since_ms=now_ms,
+            tracked_since_ms=now_ms,
             is_listed=worker.is_listed,
-            unlisted_ms=worker.unlisted_ms,
+            unlisted_since_ms=worker.unlisted_since_ms,
             inherited_until_ms=worker.inherited_until_ms,
-            look_due_ms=now_ms,
+            poll_due_ms=now_ms,
             slowness=worker.slowness,
         )
         self._long_holds.on_next_incarnation(worker, successor, now_ms)
@@ -153,7 +153,7 @@
         task = run.task
         run.worker.remove(run)
         run.state = RunState.GONE
-        self._context.owed_stops.pop(run, None)
+        self._context.pending_stops.pop(run, None)
         run.successor = Run(
             task=task,
             run_id=run.run_id,
@@ -161,7 +161,7 @@
             state=RunState.RECOVERED,
             born_epoch_ms=run.born_epoch_ms,
             stop_reason=run.stop_reason,
-            pace_told_percent=None,
+            acknowledged_pace_percent=None,
             is_carried_over=True,
             earlier_loss=loss,
             gang_slowness=run.gang_slowness,
--- a/packages/thymefork-cells/src/thymefork_cells/workers/pacing.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/pacing.py
@@ -45,7 +45,10 @@
 
     def _tell(self, run, now_ms):
         """Send the wanted pace where the worker is not known to keep it."""
-        if run.pace_told_percent == run.pace_percent or now_ms < run.pace_due_ms:
+        if (
+            run.acknowledged_pace_percent == run.pace_percent
+            or now_ms < run.pace_due_ms
+        ):
             return
         run.pace_due_ms = now_ms + PACE_LOST_MS
         self._context.emit(PaceRun(run=run, percent=run.pace_percent))
@@ -53,10 +56,10 @@
     def on_answer(self, run, percent, answer, *, now_ms):
         """Apply the answer to an order to pace a run."""
         if answer.refusal is Refusal.NONE:
-            run.pace_told_percent = percent
+            run.acknowledged_pace_percent = percent
             run.pace_due_ms = now_ms
         else:
-            run.pace_told_percent = None
+            run.acknowledged_pace_percent = None
             run.pace_due_ms = now_ms + PACE_AGAIN_MS
             self._context.count("retries", f"pace_{answer.refusal}")
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
@@ -1,6 +1,6 @@
 """What a worker lists: runs, ends, and runs that are not there."""
 
-from ..effects import StopRun, StrayRun
+from ..effects import OrphanedRun, StopRun
 from ..state import RunState
 
 __all__ = ["UNANSWERED_START_REASON", "RunReconciler"]
@@ -29,7 +29,7 @@
                 continue
             heard = True
             worker.heard_end = row.number
-            worker.strays.discard((row.task, row.run_id))
+            worker.orphaned_runs.discard((row.task, row.run_id))
             run = worker.runs.get((row.task, row.run_id))
             if run is not None:
                 self._unstored_ends.hear(worker, row, now_ms=now_ms)
@@ -65,11 +65,11 @@
                 self._stop_stray(worker, row)
                 continue
             self._update(run, row, report.clock_ms, now_ms)
-        worker.strays &= listed
+        worker.orphaned_runs &= listed
 
     def _stop_stray(self, worker, row):
         key = (row.task, row.run_id)
-        if key not in worker.strays:
+        if key not in worker.orphaned_runs:
             self._context.note(
                 "stray_run",
                 level="WARNING",
@@ -77,8 +77,8 @@
                 run=row.run_id,
                 worker=worker.worker_id,
             )
-        worker.strays.add(key)
-        self._context.emit(StopRun(run=StrayRun(worker=worker, key=key)))
+        worker.orphaned_runs.add(key)
+        self._context.emit(StopRun(run=OrphanedRun(worker=worker, key=key)))
 
     def _update(self, run, row, clock_ms, now_ms):
         run.listed_ms = now_ms
@@ -87,7 +87,7 @@
             run.confirmed_clock_ms = clock_ms
             if not run.began_ms:
                 run.began_ms = now_ms
-                run.was_begun_before = True
+                run.started_by_previous_owner = True
             run.percent_changed_ms = now_ms
             if not run.task.step.job.is_live or run.task.done:
                 self._lifecycle.stop(run, "its job has ended", now_ms=now_ms)
@@ -110,7 +110,7 @@
         """Note that a run is on its worker; maybe begun late on a new life."""
         run.state = RunState.LIVE
         run.task.step.job.has_run = True
-        if run.is_of_earlier_life:
+        if run.is_of_earlier_incarnation:
             run.born_epoch_ms = run.worker.born_epoch_ms
             run.is_carried_over = False
             self._context.journal.change(run.task.step.job)
@@ -128,9 +128,9 @@
         for run in list(worker.runs.values()):
             if run.listed_ms == now_ms:
                 continue
-            if run.is_doubted and run.doubted_ms <= asked_ms:
+            if run.is_suspect and run.suspected_ms <= asked_ms:
                 self._lifecycle.stop(run, UNANSWERED_START_REASON, now_ms=now_ms)
-            elif run.is_of_earlier_life and run.state is RunState.RECOVERED:
+            elif run.is_of_earlier_incarnation and run.state is RunState.RECOVERED:
                 gone_with_life.append(run)
             elif self._is_gone(run, report.clock_ms):
                 self._context.count("run_ends", "vanished")
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_losses.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_losses.py
@@ -8,7 +8,7 @@
 
 from attrs import evolve
 
-from ..state import JobState, Loss, are_alike
+from ..state import JobState, WorkerLoss, have_similar_timing
 
 __all__ = [
     "MAX_CLEARING_TIME_MS",
@@ -75,7 +75,7 @@
     def _record(self, run, loss):
         if loss is None:
             return
-        run.task.losses[loss.life] = loss
+        run.task.losses[loss.incarnation] = loss
         if not loss.is_certain:
             self._await_word(loss, run.task)
 
@@ -90,9 +90,9 @@
         task, after_ms = run.task, run.age_at_silence_ms(now_ms)
         if task.done or (after_ms or 0) > MAX_CLEARING_TIME_MS:
             return None
-        if run.worker.is_leaving or run.was_not_there:
+        if run.worker.is_leaving or run.was_absent:
             return None
-        return Loss(
+        return WorkerLoss(
             worker_id=run.worker.worker_id,
             after_ms=after_ms,
             is_certain=is_certain,
@@ -103,18 +103,20 @@
     def _await_word(self, loss, task):
         """Note that a silent worker may yet answer, or be known to have crashed."""
         lives = self._tasks_by_worker.setdefault(loss.worker_id, {})
-        lives.setdefault(loss.life, set()).add(task)
+        lives.setdefault(loss.incarnation, set()).add(task)
 
     def on_incarnation_over(self, worker, *, now_ms):
         """Note that a worker which had fallen silent has crashed for certain."""
-        for life, tasks in self._tasks_by_worker.pop(worker.worker_id, {}).items():
-            self._confirm(life, tasks, now_ms)
+        for incarnation, tasks in self._tasks_by_worker.pop(
+            worker.worker_id, {}
+        ).items():
+            self._confirm(incarnation, tasks, now_ms)
 
-    def _confirm(self, life, tasks, now_ms):
+    def _confirm(self, incarnation, tasks, now_ms):
         for task in tasks:
-            loss = task.losses.get(life)
+            loss = task.losses.get(incarnation)
             if loss is not None and not loss.is_certain:
-                task.losses[life] = evolve(loss, is_certain=True)
+                task.losses[incarnation] = evolve(loss, is_certain=True)
                 self._context.journal.change(task.step.job)
                 self._judge(task, now_ms)
 
@@ -123,15 +125,17 @@
 
         One that answers from a later life had crashed.
         """
-        for life, tasks in self._tasks_by_worker.pop(worker.worker_id, {}).items():
-            if life == worker.life:
-                self._take_back(life, tasks)
+        for incarnation, tasks in self._tasks_by_worker.pop(
+            worker.worker_id, {}
+        ).items():
+            if incarnation == worker.incarnation:
+                self._take_back(incarnation, tasks)
             else:
-                self._confirm(life, tasks, now_ms)
+                self._confirm(incarnation, tasks, now_ms)
 
-    def _take_back(self, life, tasks):
+    def _take_back(self, incarnation, tasks):
         for task in tasks:
-            if task.losses.pop(life, None) is not None:
+            if task.losses.pop(incarnation, None) is not None:
                 self._context.count("worker_losses", "taken_back")
                 self._context.journal.change(task.step.job)
 
@@ -205,7 +209,7 @@
     telling = [loss for loss in losses if loss.is_certain and loss.after_ms is not None]
     if len(telling) < MAX_CRASHES:
         return False
-    return are_alike(telling) and any(loss.was_alone for loss in telling)
+    return have_similar_timing(telling) and any(loss.was_alone for loss in telling)
 
 
 def _youngest_ms(runs, now_ms):
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -58,13 +58,13 @@
         for worker in list(self._context.workers.values()):
             if worker.worker_id not in mine and worker.is_listed:
                 worker.is_listed = False
-                worker.unlisted_ms = now_ms
+                worker.unlisted_since_ms = now_ms
                 worker.last_answer_ms = worker.last_answer_ms or now_ms
                 self._context.note("worker_unlisted", worker=worker.worker_id)
-        self._over_lives &= {entry.life for entry in mine.values()}
+        self._over_lives &= {entry.incarnation for entry in mine.values()}
         for entry in mine.values():
             # A crashed worker's entry stands for some heartbeats more.
-            if entry.life not in self._over_lives:
+            if entry.incarnation not in self._over_lives:
                 self._take(entry, now_ms)
         self._end_old_lives(mine, now_ms)
         self._context.needs_plan = True
@@ -76,8 +76,8 @@
                 entry=entry,
                 born_epoch_ms=entry.born_epoch_ms,
                 number=self._lives.number(entry.worker_id, entry.born_epoch_ms),
-                known_since_ms=now_ms,
-                look_due_ms=now_ms,
+                tracked_since_ms=now_ms,
+                poll_due_ms=now_ms,
             )
             self._context.workers[entry.worker_id] = worker
             self._context.note("worker_listed", worker=entry.worker_id)
@@ -136,7 +136,7 @@
     def end_life(self, worker, reason, *, now_ms):
         """Release everything of a worker whose life is over for certain."""
         runs = _sent_runs(worker)
-        self._over_lives.add(worker.life)
+        self._over_lives.add(worker.incarnation)
         self._context.note(
             "worker_gone", worker=worker.worker_id, reason=reason, runs=len(runs)
         )
@@ -158,7 +158,7 @@
                 self._expire_runs(worker, now_ms)
             unlisted = not worker.is_listed and not worker.runs
             known_ms = max(
-                worker.known_since_ms, worker.last_answer_ms, worker.runs_lost_ms
+                worker.tracked_since_ms, worker.last_answer_ms, worker.leases_expired_ms
             )
             if unlisted and now_ms > known_ms + FORGET_MS:
                 self._context.workers.pop(worker.worker_id, None)
@@ -179,7 +179,7 @@
             run.task.given_up.add(run.run_id)
         self._losses.lose(worker, runs, is_certain=False, now_ms=now_ms)
         worker.is_known = False
-        worker.runs_lost_ms = now_ms
+        worker.leases_expired_ms = now_ms
 
 
 def _sent_runs(worker):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -82,7 +82,7 @@
             timers=self._daemon.timers,
             metrics=self._daemon.metrics,
             instance=self._daemon.settings.instance,
-            turn=self.cell_index / max(1, self._daemon.layout.cells),
+            run_cycle=self.cell_index / max(1, self._daemon.layout.cells),
             on_answer=self._on_advice,
             tell_withdrawn=lambda *call: self._daemon.peers.withdraw_advice(*call),
         )
@@ -114,9 +114,9 @@
         return self._pump.is_answered
 
     @property
-    def store_is_away(self):
+    def is_store_unavailable(self):
         """Tell whether the store takes no appends, rather than takes long for them."""
-        return self._pump.store_is_away
+        return self._pump.is_store_unavailable
 
     @property
     def _is_live(self):
@@ -182,7 +182,7 @@
         except Exception:
             self._on_takeover_failed()
         else:
-            self._turns.turn()
+            self._turns.run_cycle()
 
     def _on_takeover_failed(self):
         """Let another instance take the cell, rather than hold it unserved for ever."""
@@ -208,7 +208,7 @@
             pump=self._pump,
             performer=self._performer,
             timers=self._daemon.timers,
-            workers_known_ms=lambda: self._daemon.worker_list.known_ms,
+            worker_list_as_of_ms=lambda: self._daemon.worker_list.known_ms,
             advice_slots=self._advisers.wanted_slots,
             load_watch=self._daemon.owner_load,
         )
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
@@ -76,7 +76,7 @@
         )
 
     def _on_stop(self, run, worker, answer):
-        if isinstance(run, fx.StrayRun) or not self._heed(answer.refusal, worker):
+        if isinstance(run, fx.OrphanedRun) or not self._heed(answer.refusal, worker):
             return
         self._cell.on_stop(run, answer, now_ms=steady_ms())
         self._owner.settle()
@@ -100,7 +100,7 @@
         self._owner.settle()
 
     @send.register
-    def _look(self, effect: fx.LookAt):
+    def _look(self, effect: fx.PollWorker):
         worker, now_ms = effect.worker, steady_ms()
         deadline_ms = 0.0
         if effect.lease_ms and self._owner.may_renew():
@@ -129,7 +129,7 @@
                 now_ms=now_ms,
             )
         elif result.refusal is Refusal.OTHER_LIFE:
-            self._cell.on_other_life(worker, now_ms=now_ms)
+            self._cell.on_other_incarnation(worker, now_ms=now_ms)
         else:
             self._cell.looks.on_poll_unanswered(
                 worker, quick=effect.quick, now_ms=now_ms
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
@@ -74,7 +74,7 @@
             respond(fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER))
 
     def _store_is_away(self):
-        return self._pump.store_is_away or not self._ownership.is_certain()
+        return self._pump.is_store_unavailable or not self._ownership.is_certain()
 
     def _needs_no_append(self, kind, job_id):
         """Tell whether a request is about what is stored, or on its way, already."""
