--- a/packages/thymefork-cells/src/thymefork_cells/cell.py
+++ b/packages/thymefork-cells/src/thymefork_cells/cell.py
@@ -65,21 +65,21 @@
         self.inherited_ends = InheritedEnds(
             context=self.context, lifecycle=self.lifecycle
         )
-        self.looks = WorkerPoller(
+        self.poller = WorkerPoller(
             context=self.context,
             lifecycle=self.lifecycle,
             losses=self.losses,
             unstored_ends=self.unstored_ends,
         )
-        self.long_holds = ExtendedLeases(context=self.context)
-        self.lives = IncarnationTracker(
+        self.extended_leases = ExtendedLeases(context=self.context)
+        self.incarnations = IncarnationTracker(
             context=self.context,
             lifecycle=self.lifecycle,
             losses=self.losses,
-            long_holds=self.long_holds,
+            extended_leases=self.extended_leases,
         )
         self.registry = WorkerRegistry(
-            context=self.context, losses=self.losses, lives=self.lives
+            context=self.context, losses=self.losses, incarnations=self.incarnations
         )
         self.shares = JobRateShares(context=self.context)
         self.parts = PartsLedger(context=self.context)
@@ -105,10 +105,10 @@
         self.advice = AdviceDesk(
             context=self.context, images=self.images, speeds=self.speeds
         )
-        self.orders = CommandTracker(
+        self.commands = CommandTracker(
             context=self.context,
             lifecycle=self.lifecycle,
-            looks=self.looks,
+            poller=self.poller,
             advice=self.advice,
         )
         self.placer = Placer(
@@ -125,10 +125,10 @@
             quotas=self.quotas,
             speeds=self.speeds,
         )
-        self.watch = ProgressMonitor(
+        self.progress_monitor = ProgressMonitor(
             context=self.context, lifecycle=self.lifecycle, images=self.images
         )
-        self.gang_watch = GangMonitor(context=self.context, lifecycle=self.lifecycle)
+        self.gang_monitor = GangMonitor(context=self.context, lifecycle=self.lifecycle)
         self.pacing = PaceController(context=self.context)
 
     @property
@@ -147,9 +147,9 @@
     def load(self, records, *, epoch_ms, now_ms):
         """Bring the cell to the stored state; `records` maps keys to values."""
         self._loader.load(records, epoch_ms=epoch_ms, now_ms=now_ms)
-        self.long_holds.load(records, self.registry.get_or_add_placeholder, now_ms)
+        self.extended_leases.load(records, self.registry.get_or_add_placeholder, now_ms)
         self.parts.load(records)
-        self.quorum.inherit(now_ms)
+        self.quorum.bound_inherited_leases(now_ms)
 
     def on_configuration(self, configuration):
         """Take a newer configuration."""
@@ -166,20 +166,20 @@
             self._review_due_ms = now_ms + REVIEW_MS
             self.quorum.check(now_ms)
             self.registry.expire(now_ms)
-            self.long_holds.review(now_ms)
-            self.orders.stop_unconfirmed_starts(now_ms)
-            self.orders.log_overdue_stops(now_ms)
+            self.extended_leases.review(now_ms)
+            self.commands.stop_unconfirmed_starts(now_ms)
+            self.commands.log_overdue_stops(now_ms)
             self.speed_learner.review(now_ms)
-            self.watch.check(now_ms)
-            self.gang_watch.check(now_ms)
+            self.progress_monitor.check(now_ms)
+            self.gang_monitor.check(now_ms)
             self.pacing.check(now_ms)
             self._forget_ended(now_ms)
             self.context.needs_plan = True
         if self.context.needs_plan:
             self.placer.plan(now_ms)
         parts_ms = self.exchange.run_cycle(now_ms)
-        self.orders.send_stops(now_ms)
-        look_ms = self.looks.schedule(now_ms)
+        self.commands.send_stops(now_ms)
+        look_ms = self.poller.schedule(now_ms)
         return min(look_ms, parts_ms, self._review_due_ms)
 
     def _forget_ended(self, now_ms):
@@ -193,7 +193,7 @@
 
     def on_stored(self, batch):
         """Show what an append has made lasting."""
-        for job, state in batch.shown:
+        for job, state in batch.job_states:
             job.visible_state = state
 
     def on_not_stored(self, batch, *, now_ms):
@@ -203,7 +203,9 @@
         replies = batch.take_replies(new_jobs) + self.journal.take_replies(new_jobs)
         for reply in replies:
             self.intake.refuse(reply)
-        batch.shown = [row for row in batch.shown if row[0].job_id not in new_jobs]
+        batch.job_states = [
+            row for row in batch.job_states if row[0].job_id not in new_jobs
+        ]
         self.journal.forget(new_jobs)
         self.journal.put_back(batch)
 
@@ -222,14 +224,14 @@
             self.lifecycle.release(run, now_ms=now_ms)
             self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
-        self.orders.on_start(run, answer, now_ms=now_ms)
+        self.commands.on_start(run, answer, now_ms=now_ms)
 
     def on_stop(self, run, answer, *, now_ms):
         """Apply the answer to a stop."""
         if answer.refusal is Refusal.OTHER_LIFE:
             self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
-        self.orders.on_stop(run, answer, now_ms=now_ms)
+        self.commands.on_stop(run, answer, now_ms=now_ms)
 
     def on_pace(self, run, percent, answer, *, now_ms):
         """Apply the answer to an order to pace a run."""
@@ -243,15 +245,15 @@
         if worker.is_over:
             return
         born_epoch_ms = report.born_epoch_ms
-        verdict = self.lives.match_report(worker, born_epoch_ms, now_ms)
+        verdict = self.incarnations.match_report(worker, born_epoch_ms, now_ms)
         if verdict is IncarnationMatch.NEXT:
-            entry = self.lives.placeholder_entry(worker)
-            self.lives.begin(
+            entry = self.incarnations.placeholder_entry(worker)
+            self.incarnations.begin(
                 worker, entry=entry, born_epoch_ms=born_epoch_ms, now_ms=now_ms
             )
         elif verdict is IncarnationMatch.EARLIER:
-            self.lives.count_ignored_report(born_epoch_ms)
-            self.looks.on_poll_unanswered(worker, quick=quick, now_ms=now_ms)
+            self.incarnations.count_ignored_report(born_epoch_ms)
+            self.poller.on_poll_unanswered(worker, quick=quick, now_ms=now_ms)
         else:
             self._apply_report(worker, report, last_end, quick, now_ms)
 
@@ -261,10 +263,12 @@
             run = worker.runs.get(key)
             if run is not None and run.has_known_duration:
                 self.speed_learner.on_done(run, now_ms)
-        self.long_holds.on_answer(worker, now_ms)
-        self.looks.on_report(worker, report, last_end, quick=quick, now_ms=now_ms)
+        self.extended_leases.on_answer(worker, now_ms)
+        self.poller.on_report(worker, report, last_end, quick=quick, now_ms=now_ms)
 
     def on_other_incarnation(self, worker, *, now_ms):
         """Apply that another life of a worker answers at its address."""
         worker.is_polling = worker.is_quick_polling = False
-        self.registry.end_life(worker, "another life answers there", now_ms=now_ms)
+        self.registry.end_incarnation(
+            worker, "another life answers there", now_ms=now_ms
+        )
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
@@ -96,7 +96,7 @@
             self._context.live_jobs.pop(job.job_id, None)
             self._context.note("job_withdrawn", job=job.job_id, reason="not stored")
 
-    def give_up(self, job_id, *, now_ms):
+    def abandon(self, job_id, *, now_ms):
         """Refuse a new job that no append has held, as its caller's time is over."""
         journal = self._context.journal
         if not journal.is_unsent(job_id):
@@ -120,7 +120,7 @@
             return 0.0
         return queue.stretch * chain_ms(job.spec) + queue.target_latency_ms
 
-    def knows(self, job_id):
+    def is_stored(self, job_id):
         """Tell whether a job of that id is stored."""
         job = self._context.jobs.get(job_id)
         return job is not None and job.visible_state is not None
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
@@ -60,7 +60,7 @@
                 self._lifecycle.stop(run, f"the job is {job.state}", now_ms=now_ms)
         else:
             self._context.live_jobs[job.job_id] = job
-            self._losses.adopt(job)
+            self._losses.load_losses(job)
         self._context.jobs[job.job_id] = job
 
     def _judge_shares(self):
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
@@ -26,7 +26,7 @@
     others: dict = field(factory=dict)
     effects: list = field(factory=list)
     new_jobs: list = field(factory=list)
-    shown: list = field(factory=list)
+    job_states: list = field(factory=list)
     size_bytes: int = 0
     last_number: int = 0
 
@@ -145,7 +145,9 @@
         """
         self.is_urgent = True
         number = batch.last_number
-        again = {job.job_id: _Change(job=job, number=number) for job, _ in batch.shown}
+        again = {
+            job.job_id: _Change(job=job, number=number) for job, _ in batch.job_states
+        }
         later = {key: row for key, row in self._changes.items() if key not in again}
         self._changes = again | later
         self._others = batch.others | self._others
@@ -186,7 +188,7 @@
             batch.add(JOB_KEY + job.job_id, value)
         if job.state is not JobState.QUEUED or job.has_started:
             batch.add(PROGRESS_KEY + job.job_id, encode_progress(job))
-        batch.shown.append((job, job.state))
+        batch.job_states.append((job, job.state))
 
     @staticmethod
     def _drop_description(batch, job, *, was_stored):
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/unstored_ends.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/unstored_ends.py
@@ -35,7 +35,7 @@
         self._heard = {}  # lists by a worker's life, in the order of their numbers
         self._untold = {}  # by life and number
 
-    def hear(self, worker, row, *, now_ms):
+    def add(self, worker, row, *, now_ms):
         """Take note of an end that a worker lists."""
         end = HeardEnd(
             worker_id=worker.worker_id,
@@ -48,7 +48,7 @@
         self._heard.setdefault(worker.incarnation, []).append(heard)
         self._untold[worker.incarnation, row.number] = heard
 
-    def store(self, worker, last_end, *, now_ms):
+    def mark_stored(self, worker, last_end, *, now_ms):
         """Take note that a worker's ends are stored up to a number."""
         heard = self._heard.pop(worker.incarnation, [])
         waiting = [row for row in heard if row.number > last_end]
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -282,14 +282,14 @@
         elif isinstance(effect, fx.Count):
             self.counts[effect.reason] += effect.amount
         elif isinstance(effect, fx.EndsStored):
-            cell.looks.on_ends_stored(effect.worker, effect.last_end, now_ms=self.now)
+            cell.poller.on_ends_stored(effect.worker, effect.last_end, now_ms=self.now)
         elif isinstance(effect, fx.AnnounceEnds):
             self.told_ends += effect.ends
         elif isinstance(effect, fx.AnnounceSpeeds):
             self.told_speeds |= {speed.machine: speed for speed in effect.speeds}
         elif isinstance(effect, fx.StartRun):
-            if cell.orders.may_start(effect.run, self.now):
-                cell.looks.record_lease(effect.run.worker, LEASE_MS, now_ms=self.now)
+            if cell.commands.may_start(effect.run, self.now):
+                cell.poller.record_lease(effect.run.worker, LEASE_MS, now_ms=self.now)
                 self.env.process(self.carrier.start(cell, effect))
         elif isinstance(effect, fx.StopRun):
             if effect.run.worker.entry.host and not self.drop(effect):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/order_carrier.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/order_carrier.py
@@ -151,7 +151,7 @@
         worker = self._harness.workers[effect.worker.worker_id]
         deadline_ms = 0.0
         if effect.lease_ms:
-            cell.looks.record_lease(
+            cell.poller.record_lease(
                 effect.worker, effect.lease_ms, now_ms=self._harness.now
             )
             deadline_ms = effect.worker.clock_ms(self._harness.now) + effect.lease_ms
@@ -162,7 +162,7 @@
         if self._comes_late(effect, worker, self._carry_out_look, look):
             yield self._harness.env.timeout(SILENCE_MS)
             if self._harness.is_current(cell):
-                cell.looks.on_poll_unanswered(
+                cell.poller.on_poll_unanswered(
                     effect.worker, quick=effect.quick, now_ms=self._harness.now
                 )
             return
@@ -185,7 +185,7 @@
             return
         if report is None:
             self._heard_lives.pop(worker.worker_id, None)
-            cell.looks.on_poll_unanswered(
+            cell.poller.on_poll_unanswered(
                 effect.worker, quick=effect.quick, now_ms=self._harness.now
             )
         else:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
@@ -11,7 +11,10 @@
 
 from thymefork_cells.specs import Bounds
 from thymefork_cells.state import JobState
-from thymefork_cells.workers.extended_leases import EXTENDED_LEASE_KEY, LATE_MS
+from thymefork_cells.workers.extended_leases import (
+    EXTENDED_LEASE_KEY,
+    MAX_COMMAND_DELAY_MS,
+)
 
 from .harness import job_spec
 from .run_rules import twice_run
@@ -116,14 +119,15 @@
 
 
 @pytest.mark.parametrize(
-    ("leased_ms_ago", "is_counted"), [(0.0, True), (2_000.0, True), (LATE_MS, False)]
+    ("leased_ms_ago", "is_counted"),
+    [(0.0, True), (2_000.0, True), (MAX_COMMAND_DELAY_MS, False)],
 )
 def test_an_answered_look_after_a_lease_tells_nothing_of_it(
     make_harness, leased_ms_ago, is_counted
 ):
     """A lease without an answer may come late, after newer looks were answered."""
     harness = make_harness(workers=1)
-    harness.run(LATE_MS)
+    harness.run(MAX_COMMAND_DELAY_MS)
     followed = harness.cell.context.workers["w0"]
     followed.lease_sent_ms = harness.now - leased_ms_ago
     followed.asked_ms = harness.now
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
@@ -102,7 +102,7 @@
     """What the starts rest on ends between the first one and the last."""
     harness = with_gangs(make_harness)
     left = []
-    may_start = harness.cell.orders.may_start
+    may_start = harness.cell.commands.may_start
 
     def change_midway(run, now_ms):
         if len(left) == 2 and cause == "list":
@@ -115,7 +115,7 @@
         left.append(may)
         return may
 
-    harness.cell.orders.may_start = change_midway
+    harness.cell.commands.may_start = change_midway
     harness.submit(JOB, gang(4, estimated_ms=300_000))
     assert_whole_again(harness)
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_incarnations.py
@@ -67,7 +67,7 @@
     old = followed(alone)
     hear(alone, listing(FIRST_BORN_MS + 1))
     hear(alone, listing(FIRST_BORN_MS, clock_ms=10**9), worker=old)
-    alone.cell.looks.on_poll_unanswered(old, quick=False, now_ms=alone.now)
+    alone.cell.poller.on_poll_unanswered(old, quick=False, now_ms=alone.now)
     assert followed(alone).born_epoch_ms == FIRST_BORN_MS + 1
     assert not old.misses_in_row
 
@@ -216,7 +216,7 @@
 def test_a_lease_that_the_new_life_may_have_taken_is_waited_for(alone):
     """Sent for the clock of before, it may reach as far as a worker lets it."""
     old = followed(alone)
-    alone.cell.looks.record_lease(old, 3_000.0, now_ms=alone.now)
+    alone.cell.poller.record_lease(old, 3_000.0, now_ms=alone.now)
     hear(alone, listing(FIRST_BORN_MS + 1))
     bounds = alone.cell.context.bounds
     assert followed(alone).runs_until_ms > alone.now + bounds.max_hold_ms
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
@@ -194,7 +194,7 @@
 def stops_of(harness, now_ms):
     """Return the jobs of the stops that a turn sends, in their order."""
     harness.cell.take_effects()
-    harness.cell.orders.send_stops(now_ms)
+    harness.cell.commands.send_stops(now_ms)
     effects = harness.cell.take_effects()
     stops = [effect.run for effect in effects if isinstance(effect, fx.StopRun)]
     return [run.task.step.job.job_id for run in stops]
@@ -338,7 +338,7 @@
     harness.run(20)
     assert len(harness.runs_of("w0")) == 4
     for job_id in (STAYS, LEAVES):  # the first is in the append under way
-        harness.cell.intake.give_up(job_id, now_ms=harness.now)
+        harness.cell.intake.abandon(job_id, now_ms=harness.now)
     assert len(harness.runs_of("w0")) == 1
     harness.run(10 * SLOW_APPEND_MS)
     assert harness.replies[LEAVES].outcome is Outcome.REFUSED
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_room_changes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_room_changes.py
@@ -191,7 +191,7 @@
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(8)
     (run,) = harness.job(JOB).runs
-    assert not harness.cell.orders.may_start(run, harness.now + 5_000)
+    assert not harness.cell.commands.may_start(run, harness.now + 5_000)
     assert not harness.job(JOB).runs
     harness.run(1_500)
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_speculative_copies.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_speculative_copies.py
@@ -26,7 +26,7 @@
     starts = [harness.starts_of(f"{JOB}.0.0.{index}") for index in range(3)]
     busy = next(w for w in harness.workers.values() if w.running)
     worker = harness.cell.context.workers[busy.worker_id]
-    harness.cell.looks.suspect_hall(worker, harness.now)
+    harness.cell.poller.suspect_hall(worker, harness.now)
     assert worker.is_suspect
     harness.cell.context.needs_plan = True
     harness.run(400)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_store_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_store_outages.py
@@ -113,7 +113,7 @@
         report = harness.workers[worker.worker_id].look(
             worker.fence(2), 0, 0, harness.now
         )
-        cell.looks.on_report(worker, report, 0, now_ms=paused_until_ms)
+        cell.poller.on_report(worker, report, 0, now_ms=paused_until_ms)
     assert not cell.quorum.is_held(paused_until_ms)
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
@@ -54,10 +54,10 @@
 class CommandTracker:
     """Follow each start and stop until its outcome is certain."""
 
-    def __init__(self, *, context, lifecycle, looks, advice):
+    def __init__(self, *, context, lifecycle, poller, advice):
         self._context = context
         self._lifecycle = lifecycle
-        self._looks = looks
+        self._looks = poller
         self._advice = advice
 
     def may_start(self, run, now_ms):
@@ -140,7 +140,7 @@
             run.state = RunState.LIVE
             run.task.step.job.has_run = True
             run.percent_changed_ms = now_ms
-        self._looks.want(run.worker, now_ms)
+        self._looks.request_poll(run.worker, now_ms)
 
     def _in_doubt(self, run, now_ms):
         """Ask the worker whether a run is there; only an absent one is forbidden."""
@@ -155,7 +155,7 @@
         self._context.count("retries", f"start_{refusal}")
         if refusal is Refusal.NO_ROOM:
             worker.is_known = False
-            self._looks.want(worker, now_ms)
+            self._looks.request_poll(worker, now_ms)
         elif refusal is Refusal.NO_TICKET:
             step.tickets.pop(worker.worker_id, None)
         elif refusal is Refusal.UNWELL:
@@ -182,7 +182,7 @@
             run.stop_clock_ms = answer.clock_ms
             run.worker.stopped.add(run.key)
             run.worker.stop_answered_ms = now_ms
-            self._looks.want(run.worker, now_ms)
+            self._looks.request_poll(run.worker, now_ms)
         else:
             run.stop_due_ms = now_ms + STOP_AGAIN_MS
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/extended_leases.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/extended_leases.py
@@ -15,7 +15,7 @@
 EXTENDED_LEASE_KEY = "h"
 # An order without an answer is carried out seconds late, if at all, also after newer
 # ones were answered.
-LATE_MS = 10_000.0
+MAX_COMMAND_DELAY_MS = 10_000.0
 
 
 class ExtendedLeases:
@@ -27,7 +27,10 @@
 
     def on_next_incarnation(self, worker, successor, now_ms):
         """Count on a lease for a worker's life that its next one may have taken."""
-        if worker.lease_sent_ms and now_ms - worker.lease_sent_ms < LATE_MS:
+        if (
+            worker.lease_sent_ms
+            and now_ms - worker.lease_sent_ms < MAX_COMMAND_DELAY_MS
+        ):
             self.begin(successor, now_ms)
 
     def begin(self, worker, now_ms):
--- a/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
@@ -29,11 +29,11 @@
 class IncarnationTracker:
     """Tell a worker's lives apart, and go from one to the next."""
 
-    def __init__(self, *, context, lifecycle, losses, long_holds):
+    def __init__(self, *, context, lifecycle, losses, extended_leases):
         self._context = context
         self._lifecycle = lifecycle
         self._losses = losses
-        self._long_holds = long_holds
+        self._extended_leases = extended_leases
         self._numbers = {}  # by worker id: its latest life's start and number
 
     def number(self, worker_id, born_epoch_ms):
@@ -50,7 +50,7 @@
             del self._numbers[next(iter(self._numbers))]
         return number
 
-    def judge(self, worker, born_epoch_ms):
+    def match(self, worker, born_epoch_ms):
         """Tell whether the life that began at a moment is the one that is followed."""
         if not worker.born_epoch_ms and not worker.asked_ms:
             worker.born_epoch_ms = born_epoch_ms  # the first word of it
@@ -65,7 +65,7 @@
         """Tell which life an entry is of; one may tell its start in listings alone."""
         if not entry.born_epoch_ms and not worker.entry.born_epoch_ms:
             return IncarnationMatch.SAME
-        return self.judge(worker, entry.born_epoch_ms)
+        return self.match(worker, entry.born_epoch_ms)
 
     def match_report(self, worker, born_epoch_ms, now_ms):
         """Tell which life a listing comes from.
@@ -73,7 +73,7 @@
         Where the worker's time of day was set back, its next life begins before the
         one that is followed. That is believed once nothing can run there any more.
         """
-        verdict = self.judge(worker, born_epoch_ms)
+        verdict = self.match(worker, born_epoch_ms)
         if verdict is not IncarnationMatch.EARLIER or not born_epoch_ms or worker.runs:
             return verdict
         return verdict if now_ms <= worker.runs_until_ms else IncarnationMatch.NEXT
@@ -118,7 +118,7 @@
         ]
         if listed:
             self._context.count("run_ends", "worker_restarted", len(listed))
-            self._losses.lose(worker, listed, is_certain=True, now_ms=now_ms)
+            self._losses.on_worker_lost(worker, listed, is_certain=True, now_ms=now_ms)
         for run, loss in carried:
             self._carry_over(run, successor, loss)
 
@@ -138,7 +138,7 @@
             poll_due_ms=now_ms,
             slowness=worker.slowness,
         )
-        self._long_holds.on_next_incarnation(worker, successor, now_ms)
+        self._extended_leases.on_next_incarnation(worker, successor, now_ms)
         return successor
 
     def placeholder_entry(self, worker):
--- a/packages/thymefork-cells/src/thymefork_cells/workers/quorum.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/quorum.py
@@ -49,7 +49,7 @@
         )
         return heard > 0 and heard >= SHARE * len(workers)
 
-    def inherit(self, now_ms):
+    def bound_inherited_leases(self, now_ms):
         """Bound what the predecessor's leases may keep alive on silent workers."""
         bound_ms = (
             now_ms
--- a/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
@@ -32,7 +32,7 @@
             worker.orphaned_runs.discard((row.task, row.run_id))
             run = worker.runs.get((row.task, row.run_id))
             if run is not None:
-                self._unstored_ends.hear(worker, row, now_ms=now_ms)
+                self._unstored_ends.add(worker, row, now_ms=now_ms)
                 self._lifecycle.end(run, row.how, row.checkpoint, now_ms=now_ms)
             else:
                 self._lifecycle.end_late(row.task, row.run_id, row.how, now_ms=now_ms)
@@ -144,7 +144,9 @@
                 self._lifecycle.release(run, now_ms=now_ms)
 
         if gone_with_life:
-            self._losses.lose(worker, gone_with_life, is_certain=True, now_ms=now_ms)
+            self._losses.on_worker_lost(
+                worker, gone_with_life, is_certain=True, now_ms=now_ms
+            )
 
     def _is_gone(self, run, clock_ms):
         if run.state is RunState.RECOVERED:
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_losses.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_losses.py
@@ -49,7 +49,7 @@
         """Return how many silent workers may yet tell what became of them."""
         return len(self._tasks_by_worker)
 
-    def adopt(self, job):
+    def load_losses(self, job):
         """Go on with the losses that a predecessor has stored of a job."""
         for step in job.steps:
             for task in step.tasks:
@@ -59,7 +59,7 @@
 
     # What becomes of a worker ------------------------------------------------
 
-    def lose(self, worker, runs, *, is_certain, now_ms):
+    def on_worker_lost(self, worker, runs, *, is_certain, now_ms):
         """Release the runs that a lost worker may have had.
 
         A worker that leaves as planned takes its runs with it by no fault of theirs.
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
@@ -56,7 +56,7 @@
         self._scan_due_ms = 0.0
         self._next_due_ms = 0.0
 
-    def want(self, worker, now_ms):
+    def request_poll(self, worker, now_ms):
         """Have a worker looked at as soon as the look in flight is back."""
         worker.poll_due_ms = min(worker.poll_due_ms or now_ms, now_ms)
         self._changed[worker] = None
@@ -282,7 +282,7 @@
 
     def on_ends_stored(self, worker, last_end, *, now_ms):
         """Let the worker forget the ends that are stored now."""
-        self._unstored_ends.store(worker, last_end, now_ms=now_ms)
+        self._unstored_ends.mark_stored(worker, last_end, now_ms=now_ms)
         worker.stored_end = max(worker.stored_end, last_end)
         worker.storing_ends = worker.heard_end > worker.stored_end
         worker.poll_due_ms = now_ms
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -16,10 +16,10 @@
 class WorkerRegistry:
     """Keep the workers of the cell."""
 
-    def __init__(self, *, context, losses, lives):
+    def __init__(self, *, context, losses, incarnations):
         self._context = context
         self._losses = losses
-        self._lives = lives
+        self._lives = incarnations
         self._over_lives = set()  # whose entries are still listed
 
     def get_or_add_placeholder(self, worker_id):
@@ -125,15 +125,17 @@
         )
 
     def _end_old_lives(self, mine, now_ms):
-        lives = {entry.machine_id: entry.worker_id for entry in mine.values()}
+        incarnations = {entry.machine_id: entry.worker_id for entry in mine.values()}
         for worker in list(self._context.workers.values()):
             machine_id = worker.entry.machine_id
             if not machine_id or worker.worker_id in mine:
                 continue
-            if lives.get(machine_id, worker.worker_id) != worker.worker_id:
-                self.end_life(worker, "its machine has a new life", now_ms=now_ms)
+            if incarnations.get(machine_id, worker.worker_id) != worker.worker_id:
+                self.end_incarnation(
+                    worker, "its machine has a new life", now_ms=now_ms
+                )
 
-    def end_life(self, worker, reason, *, now_ms):
+    def end_incarnation(self, worker, reason, *, now_ms):
         """Release everything of a worker whose life is over for certain."""
         runs = _sent_runs(worker)
         self._over_lives.add(worker.incarnation)
@@ -143,7 +145,7 @@
         self._losses.on_incarnation_over(worker, now_ms=now_ms)
         if runs:
             self._context.count("run_ends", "worker_gone", len(runs))
-            self._losses.lose(worker, runs, is_certain=True, now_ms=now_ms)
+            self._losses.on_worker_lost(worker, runs, is_certain=True, now_ms=now_ms)
         if not worker.runs:
             self._context.workers.pop(worker.worker_id, None)
         worker.is_listed = False
@@ -177,7 +179,7 @@
         self._context.count("run_ends", "lease_expired", len(runs))
         for run in runs:
             run.task.given_up.add(run.run_id)
-        self._losses.lose(worker, runs, is_certain=False, now_ms=now_ms)
+        self._losses.on_worker_lost(worker, runs, is_certain=False, now_ms=now_ms)
         worker.is_known = False
         worker.leases_expired_ms = now_ms
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -279,7 +279,7 @@
             self.settle()
 
     def _on_ends_stored(self, worker, last_end, *, now_ms):
-        self.cell.looks.on_ends_stored(worker, last_end, now_ms=now_ms)
+        self.cell.poller.on_ends_stored(worker, last_end, now_ms=now_ms)
 
     def _tell_members(self, ends):
         self._daemon.heard_ends.tell(self.cell_index, self.epoch, ends)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
@@ -28,10 +28,10 @@
     @send.register
     def _start(self, effect: fx.StartRun):
         run, now_ms = effect.run, steady_ms()
-        if not self._cell.orders.may_start(run, now_ms):
+        if not self._cell.commands.may_start(run, now_ms):
             return
         worker, step = run.worker, run.task.step
-        self._cell.looks.record_lease(worker, LEASE_MS, now_ms=now_ms)
+        self._cell.poller.record_lease(worker, LEASE_MS, now_ms=now_ms)
         self._client.start(
             run=run,
             payload=step.job.spec.payload,
@@ -105,7 +105,7 @@
         deadline_ms = 0.0
         if effect.lease_ms and self._owner.may_renew():
             deadline_ms = worker.clock_ms(now_ms) + effect.lease_ms
-            self._cell.looks.record_lease(worker, effect.lease_ms, now_ms=now_ms)
+            self._cell.poller.record_lease(worker, effect.lease_ms, now_ms=now_ms)
         self._client.look(
             worker=worker,
             wait_ms=effect.wait_ms,
@@ -131,7 +131,7 @@
         elif result.refusal is Refusal.OTHER_LIFE:
             self._cell.on_other_incarnation(worker, now_ms=now_ms)
         else:
-            self._cell.looks.on_poll_unanswered(
+            self._cell.poller.on_poll_unanswered(
                 worker, quick=effect.quick, now_ms=now_ms
             )
         self._owner.settle()
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
@@ -58,7 +58,7 @@
 
     def _give_up(self, job_id):
         if self._journal.is_unsent(job_id):
-            self._intake.give_up(job_id, now_ms=steady_ms())
+            self._intake.abandon(job_id, now_ms=steady_ms())
             self._settle()
 
     def give_back(self):
@@ -79,7 +79,7 @@
     def _needs_no_append(self, kind, job_id):
         """Tell whether a request is about what is stored, or on its way, already."""
         if kind == "read":
-            return self._intake.knows(job_id)
+            return self._intake.is_stored(job_id)
         if kind == "submit":
             return self._intake.has_job(job_id)
         return kind == "count"
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_order_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_order_sender.py
@@ -94,8 +94,8 @@
     task = SimpleNamespace(step=step, checkpoint="")
     run = Run(task=task, run_id=1, worker=worker, state=RunState.SENT)
     worker.clock_offset_ms = 0.0
-    owner.cell.orders = SimpleNamespace(may_start=lambda run, now_ms: True)
-    owner.cell.looks = SimpleNamespace(record_lease=lambda *row, now_ms: None)
+    owner.cell.commands = SimpleNamespace(may_start=lambda run, now_ms: True)
+    owner.cell.poller = SimpleNamespace(record_lease=lambda *row, now_ms: None)
     OrderSender(owner=owner, client=client).send(fx.StartRun(run=run))
     (start,) = client.starts
     assert start["wanted"]()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
@@ -19,7 +19,7 @@
     def __init__(self):
         self.asked = []
 
-    def knows(self, job_id):
+    def is_stored(self, job_id):
         return job_id == STORED
 
     def has_job(self, job_id):
