--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
@@ -6,10 +6,10 @@
 from thymefork_cells.workers.worker_poller import LEASE_MS
 from thymefork_net import steady_ms
 
-__all__ = ["OrderSender"]
+__all__ = ["CommandSender"]
 
 
-class OrderSender:
+class CommandSender:
     """Send what a cell orders, and hand the answers back to it."""
 
     def __init__(self, *, owner, client):
@@ -38,7 +38,7 @@
             fence=worker.fence(self._owner.epoch),
             deadline_clock_ms=worker.clock_ms(now_ms) + LEASE_MS,
             ticket=step.ticket_for(worker.worker_id, now_ms) or "",
-            wanted=lambda: run.is_wanted and self._owner.may_order(),
+            wanted=lambda: run.may_continue and self._owner.may_order(),
             done=lambda answer: self._on_start(run, worker, answer, now_ms),
         )
 
@@ -58,7 +58,7 @@
         if not self._owner.may_look():
             return False
         if refusal is Refusal.FENCED and not worker.is_over:
-            self._owner.lose("a worker has seen a newer owner")
+            self._owner.drop_ownership("a worker has seen a newer owner")
             return False
         return True
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/fakes.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/fakes.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from thymefork_daemon import membership as membership_module
-from thymefork_daemon.capacity import OwnerLoad, Shedding, Tier
+from thymefork_daemon.capacity import LoadShedder, OwnerLoad, Tier
 
 
 class FakeTimers:
@@ -61,13 +61,13 @@
 
     def __init__(self):
         self.failures = 0
-        self.told = []
+        self.notifications = []
 
     def __call__(self, *news):
         if not self.failures:
             self.failures += 1
             raise RuntimeError("a listener failed")
-        self.told += news or [None]
+        self.notifications += news or [None]
 
 
 class FakeStore:
@@ -100,7 +100,7 @@
     load = OwnerLoad(link_mbps=0.0)
     return {
         "capacity": SimpleNamespace(tier=tier),
-        "owner_load": SimpleNamespace(load=load, shedding=Shedding(load=load)),
+        "owner_load": SimpleNamespace(load=load, load_shedder=LoadShedder(load=load)),
         "handover": SimpleNamespace(best_tier=lambda: None),
     }
 
