--- a/packages/thymefork-cells/src/thymefork_cells/jobs/unstored_ends.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/unstored_ends.py
@@ -65,9 +65,9 @@
             (rows[0].received_ms for rows in self._received.values()), default=now_ms
         )
         if now_ms - first_ms > ANNOUNCE_AFTER_MS:
-            self.tell(now_ms)
+            self.announce(now_ms)
 
-    def tell(self, now_ms):
+    def announce(self, now_ms):
         """Announce the ends that were not announced yet."""
         unannounced, self._unannounced = list(self._unannounced.values()), {}
         if unannounced:
--- a/packages/thymefork-daemon/src/thymefork_daemon/handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/handover.py
@@ -69,7 +69,7 @@
         for status in self._statuses():
             for tier in (status.tier if status.can_own else None, status.best_tier):
                 if tier is not None:
-                    self._daemon.layout.note_tier(tier)
+                    self._daemon.layout.add_tier(tier)
 
     def _may_hand_over(self):
         """Tell whether the store takes what there is to store, and this goes on.
@@ -141,7 +141,7 @@
 
     def _must_wait(self):
         spent_ms = steady_ms() - self._started_ms
-        if spent_ms < MAX_STORE_WAIT_MS and self._departure.has_unstored:
+        if spent_ms < MAX_STORE_WAIT_MS and self._departure.has_unstored_records:
             return True
         has_pending_join = self._daemon.membership.has_pending_join
         return has_pending_join and spent_ms < MAX_STORE_WAIT_MS + MAX_JOIN_WAIT_MS
@@ -156,4 +156,4 @@
         self._reason = None
         self._rule.on_left(steady_ms())
         daemon.standby.on_left()
-        self._departure.leave(f"handed over: {reason}", for_good=False)
+        self._departure.leave(f"handed over: {reason}", permanent=False)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
@@ -54,7 +54,7 @@
         if self.owners.get(owner.cell_index) is owner:
             del self.owners[owner.cell_index]
         partition = self._daemon.layout.partition_of(owner.cell_index)
-        self._daemon.membership.give_up(partition, owner.epoch)
+        self._daemon.membership.drop_partition(partition, owner.epoch)
 
     def on_serving(self):
         """Tell the other instances at once."""
@@ -69,10 +69,10 @@
             if owner is not None and owned.epoch > owner.epoch:
                 owner.drop_ownership(f"a peer owns it under epoch {owned.epoch}")
 
-    def on_workers(self):
+    def on_worker_list(self):
         """Take the platform's list of workers."""
         for owner in list(self.owners.values()):
-            owner.on_workers()
+            owner.on_worker_list()
 
     def on_configuration(self, configuration):
         """Take a newer configuration."""
--- a/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
@@ -49,7 +49,7 @@
             self._daemon.timers.after(LEAVE_RETRY_MS, self._leave)
             return
         self._has_left = True
-        self._departure.leave("this instance stops", for_good=True)
+        self._departure.leave("this instance stops", permanent=True)
 
     def _has_to_stay(self):
         """Tell whether the cells are better kept for now."""
@@ -61,12 +61,14 @@
             self._store_away_ms = now_ms
             return True
         store_by_ms = max(self._began_ms, self._store_away_ms) + MAX_STORE_WAIT_MS
-        return self._departure.has_unstored and now_ms < store_by_ms
+        return self._departure.has_unstored_records and now_ms < store_by_ms
 
     def _store_is_away(self):
         if self._daemon.membership.store_lost:
             return True
-        return not all(owner.store_answers for owner in self._daemon.owners.values())
+        return not all(
+            owner.is_store_responding for owner in self._daemon.owners.values()
+        )
 
     def is_complete(self):
         """Tell whether everything is answered, or the time for it has passed."""
