--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
@@ -64,7 +64,7 @@
     harness.submit(CRASHING, job_spec(SHAPES[shape]))
     for _ in range(60_000 // owned_ms):
         harness.run(owned_ms)
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run(300)
         harness.take_over()
     harness.run(30_000)  # frequent takeovers delay detection
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
@@ -40,7 +40,7 @@
 
 
 def replace_owner(harness):
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(300)
     harness.take_over()
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
@@ -57,7 +57,7 @@
 def test_next_owner_keeps_running_tasks(harness):
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 500}))
     harness.run(200)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(400)
     harness.take_over()
     harness.run(2_000)
@@ -72,7 +72,7 @@
         worker.work_ms = 20_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 8_000}))
     harness.run(300)
-    harness.dead = True
+    harness.is_owner_down = True
     unreachable = harness.workers["w0"]
     unreachable.is_unreachable = True
     task = next(iter(unreachable.running))[0]
@@ -91,7 +91,7 @@
 def test_task_that_ended_before_takeover_is_not_repeated(harness):
     harness.submit(JOB, job_spec({"count": 2, "cpu_milli": 500}))
     harness.run(600)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(600)  # the tasks end while no owner polls
     harness.take_over()
     harness.run(1_000)
@@ -138,7 +138,7 @@
         if rng.random() < 0.08:
             worker.is_unreachable = not worker.is_unreachable
         if rng.random() < 0.05:
-            harness.dead = True
+            harness.is_owner_down = True
             harness.run(rng.choice([20, 300, 1_200]))
             harness.take_over()
         for _ in range(10):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_incarnations.py
@@ -55,11 +55,11 @@
     single_worker_harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 1_000}))
     single_worker_harness.run(200)
     worker = tracked_worker(single_worker_harness)
-    misses = worker.misses_in_row
+    misses = worker.unanswered_in_row
     receive(single_worker_harness, report_of(born_epoch_ms, clock_ms=10**9))
     assert (
         tracked_worker(single_worker_harness) is worker
-        and worker.misses_in_row == misses + 1
+        and worker.unanswered_in_row == misses + 1
     )
     single_worker_harness.run(3_000)
     assert single_worker_harness.job(JOB).visible_state is JobState.SUCCEEDED
@@ -76,7 +76,7 @@
         old, quick=False, now_ms=single_worker_harness.now
     )
     assert tracked_worker(single_worker_harness).born_epoch_ms == FIRST_START_MS + 1
-    assert not old.misses_in_row
+    assert not old.unanswered_in_row
 
 
 def test_worker_with_clock_set_back_is_tracked_once_idle(single_worker_harness):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
@@ -151,10 +151,10 @@
     gang = {"count": 2, "cpu_milli": 8_000, "gang": True, "estimated_ms": 400}
     harness.submit(CANCELLED_JOB, job_spec(gang))
     harness.run(2_600)
-    assert harness.cell.placer._reservations._kept
+    assert harness.cell.placer._reservations._by_step
     harness.cell.intake.cancel("cancel", CANCELLED_JOB, now_ms=harness.now)
     harness.run(6)
-    assert not harness.cell.placer._reservations._kept
+    assert not harness.cell.placer._reservations._by_step
 
 
 def test_no_preemption_while_cancelled_runs_free_resources(make_harness):
@@ -257,7 +257,7 @@
     start_long_running(harness, CANCELLED_JOB)
     harness.cell.intake.cancel("cancel", CANCELLED_JOB, now_ms=harness.now)
     harness.run(7)  # the stops are sent, the append is in flight
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(20)
     assert "cancel" not in harness.replies
     harness.take_over()
@@ -280,7 +280,7 @@
     harness.cell.intake.cancel("cancel", CANCELLED_JOB, now_ms=harness.now)
     harness.run(80 + dies_after_ms)
     assert harness.replies["cancel"].outcome is Outcome.CANCELLED
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(30)
     harness.take_over()
     harness.run(2_000)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
@@ -70,7 +70,7 @@
     """Inject a random fault beside the crashing tasks."""
     kind = rng.choice(("owner", "crash", "cut", "heal", "mute", "nothing"))
     if kind == "owner":
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run(300)
         harness.take_over()
     elif kind == "crash" and len(harness.crashes) < MAX_LOSSES:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
@@ -62,7 +62,7 @@
 
 def replace_owner(harness):
     """End the outage at a takeover by another instance."""
-    harness.dead = True
+    harness.is_owner_down = True
     harness.store_down = False
     harness.take_over()
 
@@ -96,7 +96,7 @@
     """The second owner is replaced before it can store anything, too."""
     harness = make_harness(workers=6)
     run_into_outage(harness)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.take_over()
     begin_outage(harness)
     harness.run(500)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_store_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_store_outages.py
@@ -16,7 +16,7 @@
         worker.work_ms = 60_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 8_000}))
     harness.run(300)
-    harness.dead = True
+    harness.is_owner_down = True
     for worker_id in ("w0", "w1", "w2"):
         harness.workers[worker_id].is_unreachable = True
     harness.run(500)
@@ -38,7 +38,7 @@
         worker.work_ms = 60_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 8_000}))
     harness.run(300)
-    harness.dead = True
+    harness.is_owner_down = True
     for worker_id in ("w0", "w1", "w2"):
         harness.workers[worker_id].is_unreachable = True
     harness.run(500)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_worker_restarts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_worker_restarts.py
@@ -221,7 +221,7 @@
 
 def _inject_fault(harness, rng, kind):
     if kind in ("new owners", "all") and rng.random() < 0.1:
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run(300)
         harness.take_over()
     if kind in ("cuts", "all") and rng.random() < 0.15 and len(_reachable(harness)) > 8:
--- a/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
@@ -106,7 +106,7 @@
             return "worker_silent"
         return ""
 
-    def on_start(self, run, answer, *, now_ms):
+    def on_start_answer(self, run, answer, *, now_ms):
         """Process the answer to a start command."""
         if run.state is RunState.GONE:
             self._on_outdated_answer(run, answer, now_ms)
@@ -168,7 +168,7 @@
         )
         self._lifecycle.release(run, now_ms=now_ms)
 
-    def on_stop(self, run, answer, *, now_ms):
+    def on_stop_answer(self, run, answer, *, now_ms):
         """Process the answer to a stop command."""
         if run.state is RunState.GONE:
             return
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
@@ -126,7 +126,7 @@
 
     def _send_quick_poll(self, worker, now_ms):
         """Send a second poll, without a wait, if something has to be known at once."""
-        if worker.is_quick_polling or worker.misses_in_row:
+        if worker.is_quick_polling or worker.unanswered_in_row:
             return
         is_suspect = worker.suspected_ms > worker.last_answer_ms
         if is_suspect or self._needs_quick_poll(worker, now_ms):
@@ -154,7 +154,7 @@
         waits = worker.runs and worker.has_reported and not worker.orphaned_runs
         waits = waits and not worker.stopped and not worker.storing_ends
         waits = waits and worker.suspected_ms <= worker.last_answer_ms
-        waits = waits and not worker.misses_in_row
+        waits = waits and not worker.unanswered_in_row
         renews = self._renews_leases(worker)
         worker.is_polling = True
         worker.poll_sent_ms = now_ms
@@ -173,7 +173,7 @@
         Nothing is renewed for runs that only have to stop: if their stop fails, they
         end with the lease.
         """
-        if worker.clock_offset_ms is None or worker.misses_in_row:
+        if worker.clock_offset_ms is None or worker.unanswered_in_row:
             return False
         return any(run.may_continue for run in worker.runs.values())
 
@@ -200,14 +200,14 @@
             self.suspect_hall(worker, now_ms)
             return
         worker.is_polling = False
-        worker.misses_in_row += 1
+        worker.unanswered_in_row += 1
         worker.unanswered_since_ms = worker.unanswered_since_ms or now_ms
         retry_delay_ms = min(
-            MAX_POLL_RETRY_DELAY_MS, MIN_POLL_RETRY_DELAY_MS * worker.misses_in_row
+            MAX_POLL_RETRY_DELAY_MS, MIN_POLL_RETRY_DELAY_MS * worker.unanswered_in_row
         )
         worker.poll_due_ms = now_ms + retry_delay_ms
         self.suspect_hall(worker, now_ms)
-        if worker.misses_in_row == MAX_UNANSWERED_POLLS:
+        if worker.unanswered_in_row == MAX_UNANSWERED_POLLS:
             self._context.note(
                 "worker_silent",
                 worker=worker.worker_id,
@@ -218,7 +218,7 @@
     def on_report(self, worker, report, last_end, *, quick=False, now_ms):
         """Process a worker's report."""
         self._changed[worker] = None
-        if worker.misses_in_row >= MAX_UNANSWERED_POLLS:
+        if worker.unanswered_in_row >= MAX_UNANSWERED_POLLS:
             self._context.note("worker_answers", worker=worker.worker_id)
         self._losses.on_answer(worker, now_ms=now_ms)
         if quick:
@@ -228,7 +228,7 @@
             worker.is_polling = False
             answered_poll_ms = worker.poll_sent_ms
         worker.answered_poll_ms = max(worker.answered_poll_ms, answered_poll_ms)
-        worker.misses_in_row = 0
+        worker.unanswered_in_row = 0
         worker.unanswered_since_ms = 0.0
         worker.last_answer_ms = now_ms
         worker.acknowledged_end = max(worker.acknowledged_end, last_end)
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -158,7 +158,8 @@
         """Release the runs of silent workers whose leases have expired."""
         for worker in list(self._context.workers.values()):
             silent = (
-                worker.misses_in_row >= MAX_UNANSWERED_POLLS or not worker.entry.host
+                worker.unanswered_in_row >= MAX_UNANSWERED_POLLS
+                or not worker.entry.host
             )
             if worker.runs and silent and now_ms > worker.runs_until_ms:
                 self._expire_runs(worker, now_ms)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -197,7 +197,7 @@
         self._request_handler = RequestHandler(
             cell=cell,
             ownership=self._ownership,
-            pump=self._pipeline,
+            pipeline=self._pipeline,
             metrics=self._daemon.metrics,
             timers=self._daemon.timers,
             apply_effects=self.apply_effects,
@@ -205,7 +205,7 @@
         self._loop = SchedulingLoop(
             cell=cell,
             ownership=self._ownership,
-            pump=self._pipeline,
+            pipeline=self._pipeline,
             executor=self._executor,
             timers=self._daemon.timers,
             worker_list_as_of_ms=lambda: self._daemon.worker_list.as_of_ms,
@@ -213,9 +213,9 @@
             load_monitor=self._daemon.owner_load,
         )
         cell.registry.update(self._daemon.worker_list.entries.values(), now_ms=now_ms)
-        heard = self._daemon.heard_ends.ends_before(self.cell_index, self.epoch)
+        heard = self._daemon.heard_end_buffer.ends_before(self.cell_index, self.epoch)
         cell.inherited_ends.apply(heard, now_ms=now_ms)
-        speeds = self._daemon.learned_speeds.of(self.cell_index)
+        speeds = self._daemon.learned_speeds.of_cell(self.cell_index)
         cell.speed_learner.inherit(speeds, now_ms=now_ms)
         self._daemon.metrics.count("ownership", "gained")
         self._daemon.metrics.observe("takeover", now_ms - self._started_ms)
@@ -282,7 +282,7 @@
         self.cell.poller.on_ends_stored(worker, last_end, now_ms=now_ms)
 
     def _announce_ends(self, ends):
-        self._daemon.heard_ends.announce(self.cell_index, self.epoch, ends)
+        self._daemon.heard_end_buffer.announce(self.cell_index, self.epoch, ends)
 
     def _announce_speeds(self, speeds):
         self._daemon.learned_speeds.announce(self.cell_index, self.epoch, speeds)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/scheduling_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/scheduling_loop.py
@@ -37,7 +37,7 @@
         *,
         cell,
         ownership,
-        pump,
+        pipeline,
         executor,
         timers,
         worker_list_as_of_ms,
@@ -46,10 +46,10 @@
     ):
         self._cell = cell
         self._ownership = ownership
-        self._pump = pump
+        self._pipeline = pipeline
         self._executor = executor
         self._timers = timers
-        self._workers_known_ms = worker_list_as_of_ms
+        self._worker_list_as_of_ms = worker_list_as_of_ms
         self._advice_slots = advice_slots
         self._load_monitor = load_monitor
         self._ended = False
@@ -71,7 +71,7 @@
         """
         if self._ended:
             return
-        self._perform_effects()
+        self._execute_effects()
         self._schedule(min(self._cycle_due_ms, steady_ms() + CYCLE_DELAY_MS))
 
     def run_cycle(self):
@@ -97,19 +97,19 @@
 
     def _decide(self, now_ms):
         self._cell.context.is_store_unavailable = not self._ownership.is_renewed()
-        self._cell.context.worker_list_as_of_ms = self._workers_known_ms()
+        self._cell.context.worker_list_as_of_ms = self._worker_list_as_of_ms()
         self._cell.context.advice_slots = self._advice_slots()
         if self._load_monitor is not None:
             sheds = self._load_monitor.load_shedder.sheds
             self._cell.context.defers_idle_polls = sheds(SheddableWork.IDLE_LOOKS)
             self._cell.context.defers_early_advice = sheds(SheddableWork.EARLY_ADVICE)
         due_ms = self._cell.run_cycle(now_ms)
-        self._perform_effects()
+        self._execute_effects()
         if self._may_linger(now_ms):
             return min(due_ms, self._linger_since_ms + LINGER_MS)
         return min(due_ms, self._store(now_ms))
 
-    def _perform_effects(self):
+    def _execute_effects(self):
         self._executor.execute(self._cell.take_effects())
 
     def _schedule(self, due_ms):
@@ -124,7 +124,7 @@
     def _may_linger(self, now_ms):
         """Tell whether the records that wait may wait for others."""
         journal = self._cell.journal
-        if journal.is_empty or journal.is_urgent or self._pump.is_store_unavailable:
+        if journal.is_empty or journal.is_urgent or self._pipeline.is_store_unavailable:
             self._linger_since_ms = 0.0
             return False
         self._linger_since_ms = self._linger_since_ms or now_ms
@@ -134,14 +134,14 @@
         """Send what waits if the store takes it now; return when to try next."""
         if self._cell.journal.is_empty or self._ended or self._store_retry_timer:
             return math.inf
-        next_send_ms = self._pump.next_send_ms
+        next_send_ms = self._pipeline.next_send_ms
         if next_send_ms is None:
             return math.inf
         if next_send_ms > now_ms:
             return next_send_ms
         sent_ms = steady_ms()
         batch = self._cell.journal.take(sent_ms)
-        self._pump.send(
+        self._pipeline.send(
             batch,
             lambda batch: self._on_stored(batch, sent_ms),
             self._on_not_stored,
@@ -157,7 +157,7 @@
 
     def _on_not_stored(self, batch):
         self._cell.on_not_stored(batch, now_ms=steady_ms())
-        self._perform_effects()
+        self._execute_effects()
         if not self._store_retry_timer:
             self._store_retry_timer = self._timers.after(
                 STORE_RETRY_DELAY_MS, self._retry_store
@@ -168,5 +168,5 @@
         if self._ended:
             return
         if self._cell.journal.is_empty:
-            self._pump.reset_failure()
+            self._pipeline.reset_failure()
         self.apply_effects()
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
@@ -52,7 +52,7 @@
         lost_since_ms = self._lost_since_ms.setdefault(address, steady_ms())
         membership = self._daemon.membership
         if membership.renewed_ms > lost_since_ms:
-            self._take_out(address, "lost the store")
+            self._evict(address, "lost the store")
         elif membership.in_group:
             membership.join_now()
 
@@ -62,10 +62,10 @@
             address = daemon.directory.owner_of(cell)
             if address is None or address == daemon.settings.peer:
                 continue
-            if daemon.links.is_silent(address, SILENT_MS):
-                self._take_out(address, "silent")
+            if daemon.links.is_unresponsive(address, SILENT_MS):
+                self._evict(address, "silent")
 
-    def _take_out(self, address, reason):
+    def _evict(self, address, reason):
         now_ms = steady_ms()
         if now_ms < self._not_before_ms.get(address, 0.0):
             return
@@ -92,4 +92,4 @@
             return membership.in_group and not membership.store_lost
         if not membership.is_healthy:
             return False
-        return self._daemon.links.heard_share(SILENT_MS) >= LEAST_HEARD_SHARE
+        return self._daemon.links.responsive_fraction(SILENT_MS) >= LEAST_HEARD_SHARE
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -23,7 +23,7 @@
 # A member of the group keeps links to this many others beside the owner. Without them
 # it hears nobody but the owner and can't tell its silence from a cut of its own. Who is
 # no member judges nobody, and keeps none.
-NEIGHBOURS = 3
+NEIGHBOUR_LINKS = 3
 # While too few members are known, the group is read this often: a newcomer may have
 # read it before the others had joined.
 FIND_NEIGHBOURS_MS = 2_000.0
@@ -114,7 +114,7 @@
             if address is None or address == self._daemon.settings.peer:
                 self._daemon.directory.refresh()
             else:
-                self._daemon.links.to(address)
+                self._daemon.links.open_link(address)
         if self._daemon.membership.in_group:
             self._keep_neighbours()
 
@@ -122,14 +122,14 @@
         """Keep links to a few members, drawn by hash, so that they differ."""
         own = self._daemon.settings.peer
         others = self._daemon.directory.members - {own}
-        if len(others) < NEIGHBOURS and steady_ms() >= self._neighbours_due_ms:
+        if len(others) < NEIGHBOUR_LINKS and steady_ms() >= self._neighbours_due_ms:
             self._neighbours_due_ms = steady_ms() + FIND_NEIGHBOURS_MS
             self._daemon.directory.refresh()
         ranked = sorted(
             others, key=lambda other: xxhash.xxh32_intdigest(f"{own}|{other}".encode())
         )
-        for address in ranked[:NEIGHBOURS]:
-            self._daemon.links.to(address)
+        for address in ranked[:NEIGHBOUR_LINKS]:
+            self._daemon.links.open_link(address)
 
     def on_message(self, link, message):
         """Hand a peer's message on."""
@@ -144,7 +144,7 @@
         elif isinstance(message, AdviceReply):
             self._on_advice_reply(message)
         elif isinstance(message, EndsHeard):
-            self._daemon.heard_ends.on_message(message)
+            self._daemon.heard_end_buffer.on_message(message)
         elif isinstance(message, LIMIT_PART_MESSAGES):
             self._daemon.parts.on_message(message)
         else:
@@ -189,7 +189,9 @@
         for learned in message.speeds or ():
             self._daemon.learned_speeds.on_message(learned)
         for owned in message.owned:
-            self._daemon.heard_ends.forward_to_owner(link, owned.cell, owned.epoch)
+            self._daemon.heard_end_buffer.forward_to_owner(
+                link, owned.cell, owned.epoch
+            )
         if self._owner_watch is not None:
             self._owner_watch.on_heartbeat(link, message)
         owned = {owned.cell for owned in message.owned}
@@ -273,7 +275,7 @@
         self._daemon.membership.join_now()
         if link.connected and link.address is not None:
             # If the process is gone, the new connection is refused at once.
-            self._daemon.links.to(link.address)
+            self._daemon.links.open_link(link.address)
         self._on_links_changed()
 
     def _on_links_changed(self):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -91,7 +91,9 @@
             members={owner, *others}, owner_of=lambda cell: owner, refresh=lambda: None
         ),
         links=SimpleNamespace(
-            all=[], to=opened.append, is_silent=lambda address, ms: asked.append(ms)
+            all=[],
+            open_link=opened.append,
+            is_unresponsive=lambda address, ms: asked.append(ms),
         ),
         membership=SimpleNamespace(in_group=in_group, store_lost=False),
         metrics=FakeMetrics(),
@@ -130,7 +132,7 @@
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
     desk = daemon.peers = PeerDispatcher(daemon=daemon)
     owner = daemon.directory.owner_of(0)
     beat_of(desk, owner, leaving=True, store_lost=True)
@@ -235,7 +237,7 @@
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
     daemon.learned_speeds = SimpleNamespace(
         take_unannounced=lambda: None, of_owned_cells=lambda: ["all"]
     )
@@ -266,7 +268,7 @@
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
     desk = PeerDispatcher(daemon=daemon)
     link = FakeLink(daemon.directory.owner_of(0))
 
