--- a/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
@@ -168,10 +168,10 @@
             if not value and key not in batch.other_records
         ]
         self._dropped_keys = dropped + self._dropped_keys
-        effects = [
+        requeued = [
             _PendingEffect(effect=effect, number=number) for effect in batch.effects
         ]
-        self._pending_effects = effects + self._pending_effects
+        self._pending_effects = requeued + self._pending_effects
 
     def take(self, now_ms):
         """Return the next batch of pending records."""
@@ -217,7 +217,7 @@
     def _release_effects(self, batch):
         """Move the effects that only wait for this batch, or earlier ones, into it."""
         if not self._changes:
-            batch.effects = [row.effect for row in self._pending_effects]
+            batch.effects = [pending.effect for pending in self._pending_effects]
             self._pending_effects = []
             return
         self.is_urgent = True
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_cancelled_runs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_cancelled_runs.py
@@ -69,17 +69,17 @@
     assert not harness.running()
 
 
-@pytest.mark.parametrize("unlisted_since_ms", [300, 2_000])
-def test_task_cancelled_on_unlisted_worker_is_stopped(make_harness, unlisted_since_ms):
+@pytest.mark.parametrize("unlisted_for_ms", [300, 2_000])
+def test_task_cancelled_on_unlisted_worker_is_stopped(make_harness, unlisted_for_ms):
     harness = make_harness(workers=2)
     start_long_running(harness)
     entries, harness.entries = harness.entries, []
     harness.take_over()
     harness.run(50)
     cancel(harness)
-    harness.run(unlisted_since_ms)
+    harness.run(unlisted_for_ms)
     harness.load_worker_list(entries)
-    harness.run(STOPPED_WITHIN_MS - unlisted_since_ms)
+    harness.run(STOPPED_WITHIN_MS - unlisted_for_ms)
     assert not harness.running()
     assert not harness.cell.context.workers["w0"].runs
 
@@ -113,20 +113,20 @@
     assert not harness.running()
 
 
-def drop_stops(harness):
+def no_outcome(harness):
     harness.is_stop_dropped = lambda effect: isinstance(effect, StopRun)
 
 
-def ignore_stops(harness):
+def answered_in_vain(harness):
     for worker in harness.workers.values():
         worker.ignored_stops = 2
 
 
-@pytest.mark.parametrize("go_astray", [drop_stops, ignore_stops])
-def test_ineffective_stop_is_sent_again(make_harness, go_astray):
+@pytest.mark.parametrize("break_stops", [no_outcome, answered_in_vain])
+def test_ineffective_stop_is_sent_again(make_harness, break_stops):
     harness = make_harness(workers=2)
     start_long_running(harness)
-    go_astray(harness)
+    break_stops(harness)
     cancel(harness)
     harness.is_stop_dropped = lambda effect: False
     harness.run(STOPPED_WITHIN_MS)
--- a/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
@@ -74,10 +74,10 @@
         After the worker's wall clock was set back, a new incarnation has an earlier
         start. It is accepted once nothing can run there any more.
         """
-        verdict = self.match(worker, born_epoch_ms)
-        if verdict is not IncarnationMatch.EARLIER or not born_epoch_ms or worker.runs:
-            return verdict
-        return verdict if now_ms <= worker.runs_until_ms else IncarnationMatch.NEXT
+        relation = self.match(worker, born_epoch_ms)
+        if relation is not IncarnationMatch.EARLIER or not born_epoch_ms or worker.runs:
+            return relation
+        return relation if now_ms <= worker.runs_until_ms else IncarnationMatch.NEXT
 
     def count_ignored_report(self, born_epoch_ms):
         """Count a report that is not from the tracked incarnation."""
@@ -109,16 +109,18 @@
         A delayed start command may still be carried out by the next incarnation.
         """
         sent = [run for run in worker.runs.values() if run.was_sent]
-        listed = [run for run in sent if run.listed_ms]
+        reported = [run for run in sent if run.listed_ms]
         # Evaluated while the runs beside them are still on the worker.
         carried = [
             (run, self._losses.loss_of(run, now_ms))
             for run in sent
             if not run.listed_ms
         ]
-        if listed:
-            self._context.count("run_ends", "worker_restarted", len(listed))
-            self._losses.on_worker_lost(worker, listed, is_certain=True, now_ms=now_ms)
+        if reported:
+            self._context.count("run_ends", "worker_restarted", len(reported))
+            self._losses.on_worker_lost(
+                worker, reported, is_certain=True, now_ms=now_ms
+            )
         for run, loss in carried:
             self._carry_over(run, successor, loss)
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_losses.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_losses.py
@@ -98,8 +98,8 @@
 
     def _await_outcome(self, loss, task):
         """Register a loss whose worker is silent and may not have crashed."""
-        lives = self._tasks_by_worker.setdefault(loss.worker_id, {})
-        lives.setdefault(loss.incarnation, set()).add(task)
+        tasks_by_incarnation = self._tasks_by_worker.setdefault(loss.worker_id, {})
+        tasks_by_incarnation.setdefault(loss.incarnation, set()).add(task)
 
     def on_incarnation_over(self, worker, *, now_ms):
         """Confirm the losses of a silent worker that has certainly crashed."""
@@ -165,7 +165,7 @@
             after_ms=[loss.after_ms for loss in losses],
             crashes=sum(loss.is_certain for loss in losses),
         )
-        reason = f"{len(losses)} workers were lost under {task.name}"
+        reason = f"{len(losses)} workers were lost while they ran {task.name}"
         self._lifecycle.finish(job, JobState.FAILED, reason, now_ms=now_ms)
 
     def _log_losses(self, worker, runs, is_certain, now_ms):
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
@@ -151,18 +151,18 @@
         return now_ms - worker.quick_poll_sent_ms >= QUICK_POLL_INTERVAL_MS
 
     def _send_poll(self, worker, now_ms):
-        waits = worker.runs and worker.has_reported and not worker.orphaned_runs
-        waits = waits and not worker.stopped and not worker.storing_ends
-        waits = waits and worker.suspected_ms <= worker.last_answer_ms
-        waits = waits and not worker.unanswered_in_row
-        renews = self._renews_leases(worker)
+        can_wait = worker.runs and worker.has_reported and not worker.orphaned_runs
+        can_wait = can_wait and not worker.stopped and not worker.storing_ends
+        can_wait = can_wait and worker.suspected_ms <= worker.last_answer_ms
+        can_wait = can_wait and not worker.unanswered_in_row
+        renews_leases = self._renews_leases(worker)
         worker.is_polling = True
         worker.poll_sent_ms = now_ms
         self._context.emit(
             PollWorker(
                 worker=worker,
-                wait_ms=self._poll_wait_ms() if waits else 0,
-                lease_ms=LEASE_MS if renews else 0.0,
+                wait_ms=self._poll_wait_ms() if can_wait else 0,
+                lease_ms=LEASE_MS if renews_leases else 0.0,
                 last_end=worker.stored_end,
             )
         )
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -19,7 +19,7 @@
     def __init__(self, *, context, losses, incarnations):
         self._context = context
         self._losses = losses
-        self._lives = incarnations
+        self._incarnations = incarnations
         self._ended_incarnations = set()  # those whose entries are still listed
 
     def get_or_add_placeholder(self, worker_id):
@@ -77,7 +77,7 @@
             worker = Worker(
                 entry=entry,
                 born_epoch_ms=entry.born_epoch_ms,
-                number=self._lives.number(entry.worker_id, entry.born_epoch_ms),
+                number=self._incarnations.number(entry.worker_id, entry.born_epoch_ms),
                 tracked_since_ms=now_ms,
                 poll_due_ms=now_ms,
             )
@@ -86,11 +86,11 @@
             return
         if worker.entry == entry and worker.is_listed:
             return
-        verdict = self._lives.match_entry(worker, entry)
-        if verdict is IncarnationMatch.EARLIER:
+        relation = self._incarnations.match_entry(worker, entry)
+        if relation is IncarnationMatch.EARLIER:
             return  # the worker has restarted and its new entry was not read yet
-        if verdict is IncarnationMatch.NEXT:
-            worker = self._lives.begin(
+        if relation is IncarnationMatch.NEXT:
+            worker = self._incarnations.begin(
                 worker, entry=entry, born_epoch_ms=entry.born_epoch_ms, now_ms=now_ms
             )
         self._log_capacity_change(worker, entry)
@@ -107,9 +107,13 @@
 
     def _log_capacity_change(self, worker, entry):
         """Log a change of a running worker's capacity."""
-        old = worker.entry
-        was = (old.cpu_milli, old.memory_mb, old.accelerators)
-        if not old.host or was == (
+        previous_entry = worker.entry
+        previous_capacity = (
+            previous_entry.cpu_milli,
+            previous_entry.memory_mb,
+            previous_entry.accelerators,
+        )
+        if not previous_entry.host or previous_capacity == (
             entry.cpu_milli,
             entry.memory_mb,
             entry.accelerators,
@@ -119,10 +123,10 @@
             "worker_room_changed",
             worker=entry.worker_id,
             cpu_milli=entry.cpu_milli,
-            was_cpu_milli=old.cpu_milli,
+            was_cpu_milli=previous_entry.cpu_milli,
             held_cpu_milli=worker.held_cpu_milli,
             memory_mb=entry.memory_mb,
-            was_memory_mb=old.memory_mb,
+            was_memory_mb=previous_entry.memory_mb,
             accelerators=entry.accelerators,
         )
 
@@ -157,11 +161,11 @@
     def expire(self, now_ms):
         """Release the runs of silent workers whose leases have expired."""
         for worker in list(self._context.workers.values()):
-            silent = (
+            is_silent = (
                 worker.unanswered_in_row >= MAX_UNANSWERED_POLLS
                 or not worker.entry.host
             )
-            if worker.runs and silent and now_ms > worker.runs_until_ms:
+            if worker.runs and is_silent and now_ms > worker.runs_until_ms:
                 self._expire_runs(worker, now_ms)
             unlisted = not worker.is_listed and not worker.runs
             last_seen_ms = max(
