--- a/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
@@ -185,9 +185,9 @@
         self._dropped_keys = []
         epoch_ms = time.time() * 1000.0
         while self._changes and batch.size_bytes <= MAX_BATCH_BYTES:
-            change = self._changes.pop(next(iter(self._changes)))
-            batch.last_number = change.number
-            self._put(batch, change.job, epoch_ms, now_ms)
+            pending = self._changes.pop(next(iter(self._changes)))
+            batch.last_number = pending.number
+            self._put(batch, pending.job, epoch_ms, now_ms)
         self._last_sent_number = batch.last_number
         self._release_effects(batch)
         return batch
--- a/packages/thymefork-cells/src/thymefork_cells/workers/extended_leases.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/extended_leases.py
@@ -29,9 +29,9 @@
             worker.lease_sent_ms
             and now_ms - worker.lease_sent_ms < MAX_COMMAND_DELAY_MS
         ):
-            self.begin(successor, now_ms)
+            self.assume_lease(successor, now_ms)
 
-    def begin(self, worker, now_ms):
+    def assume_lease(self, worker, now_ms):
         """Assume that a worker has an extended lease, taken at the latest by now."""
         if worker.worker_id not in self._stored_worker_ids:
             self._stored_worker_ids.add(worker.worker_id)
@@ -73,7 +73,7 @@
             return
         was_earlier = any(run.is_of_earlier_incarnation for run in worker.runs.values())
         if worker.extended_lease_until_ms or was_earlier:
-            self.begin(worker, now_ms)
+            self.assume_lease(worker, now_ms)
 
     def review(self, now_ms):
         """Drop the records of leases that are over."""
