--- a/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
@@ -94,10 +94,10 @@
     def add(self, job):
         """Store a new job."""
         self._new_jobs[job.job_id] = job
-        self.change(job)
+        self.mark_changed(job)
         self.is_urgent = True
 
-    def change(self, job):
+    def mark_changed(self, job):
         """Store a job's progress; a pending job keeps its position."""
         self.is_urgent = self.is_urgent or not job.is_live
         if job.job_id not in self._changes:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_concurrent_appends.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_concurrent_appends.py
@@ -138,7 +138,7 @@
     appends.store_first()
     journal = harness.cell.journal
     for job_id in (JOB, OTHER):
-        journal.change(harness.job(job_id))
+        journal.mark_changed(harness.job(job_id))
     appends.send()
     journal.after("told")
     assert appends.send().effects == ["told"]
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
@@ -83,7 +83,7 @@
     assert len(harness.starts_of(task)) == 1
     harness.workers["w1"].is_unreachable = False
     harness.run(4_000)
-    harness.cell.registry.expire(harness.now)
+    harness.cell.registry.expire_leases(harness.now)
     assert not harness.cell.context.workers["w0"].runs
     assert harness.now - taken_over_ms < 10_000
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -90,7 +90,7 @@
         if relation is IncarnationMatch.EARLIER:
             return  # the worker has restarted and its new entry was not read yet
         if relation is IncarnationMatch.NEXT:
-            worker = self._incarnations.begin(
+            worker = self._incarnations.start_next(
                 worker, entry=entry, born_epoch_ms=entry.born_epoch_ms, now_ms=now_ms
             )
         self._log_capacity_change(worker, entry)
@@ -158,7 +158,7 @@
             self._context.workers.pop(worker.worker_id, None)
         worker.is_listed = False
 
-    def expire(self, now_ms):
+    def expire_leases(self, now_ms):
         """Release the runs of silent workers whose leases have expired."""
         for worker in list(self._context.workers.values()):
             is_silent = (
