--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_incarnations.py
@@ -55,11 +55,11 @@
     single_worker_harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 1_000}))
     single_worker_harness.run(200)
     worker = tracked_worker(single_worker_harness)
-    misses = worker.unanswered_in_row
+    unanswered = worker.unanswered_in_row
     receive(single_worker_harness, report_of(born_epoch_ms, clock_ms=10**9))
     assert (
         tracked_worker(single_worker_harness) is worker
-        and worker.unanswered_in_row == misses + 1
+        and worker.unanswered_in_row == unanswered + 1
     )
     single_worker_harness.run(3_000)
     assert single_worker_harness.job(JOB).visible_state is JobState.SUCCEEDED
