--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -82,7 +82,7 @@
             timers=self._daemon.timers,
             metrics=self._daemon.metrics,
             instance=self._daemon.settings.instance,
-            turn=self.cell_index / max(1, self._daemon.layout.cells),
+            start_fraction=self.cell_index / max(1, self._daemon.layout.cells),
             on_answer=self._on_advice,
             tell_withdrawn=lambda *call: self._daemon.peers.withdraw_advice(*call),
         )
