--- a/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
@@ -3,12 +3,12 @@
 from attrs import evolve
 from loguru import logger
 
-from thymefork_cells import STALE_MS
+from thymefork_cells import WORKER_LIST_MAX_AGE_MS
 from thymefork_core.exceptions import ProtocolError
 from thymefork_machines import decode_worker
 from thymefork_net import steady_ms
 
-from .owed_news import OwedNews
+from .change_notifier import ChangeNotifier
 
 __all__ = ["WorkerListWatch"]
 
@@ -40,7 +40,7 @@
         self._on_unreadable = on_unreadable
         self._store = store
         self._timers = timers
-        self._news = OwedNews(listener=on_change)
+        self._notifier = ChangeNotifier(listener=on_change)
         self._wanted = False
         self._running = False
         self._answered_ms = steady_ms()
@@ -60,7 +60,7 @@
 
     def _again(self, action):
         if self._wanted:
-            is_stale = steady_ms() - self.known_ms > STALE_MS
+            is_stale = steady_ms() - self.known_ms > WORKER_LIST_MAX_AGE_MS
             period_ms = STALE_PERIOD_MS if is_stale else PERIOD_MS
             self._timers.after(period_ms, action)
         else:
@@ -103,8 +103,8 @@
         entries = self._kept | self._listed
         if entries != self.entries:
             self.entries = entries
-            self._news.owe()
-        self._news.tell()
+            self._notifier.mark_changed()
+        self._notifier.notify()
 
     def _read_newest(self, found, after, offset):
         sent_ms = steady_ms()
