--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -72,7 +72,7 @@
         if not self._daemon.owners:
             return
         message = self._heartbeat()
-        message.speeds = self._daemon.learned_speeds.take_untold()
+        message.speeds = self._daemon.learned_speeds.take_unannounced()
         newcomers, self._newcomers = self._newcomers, set()
         for link in list(self._member_links):  # one that breaks leaves the set
             link.send(self._beat_with_all_speeds() if link in newcomers else message)
@@ -80,7 +80,7 @@
     def _beat_with_all_speeds(self):
         """Return the first heartbeat to a member, which missed what was told before."""
         message = self._heartbeat()
-        message.speeds = self._daemon.learned_speeds.of_owners()
+        message.speeds = self._daemon.learned_speeds.of_owned_cells()
         return message
 
     def _heartbeat(self):
@@ -182,7 +182,7 @@
             self._member_links.add(link)
         else:
             self._member_links.discard(link)  # it may stand by again
-        self._daemon.owned_cells.on_peer_owns(message.owned)
+        self._daemon.owned_cells.on_peer_ownership(message.owned)
         self._daemon.gateway.on_heartbeat(link, message)
         for call_id in message.withdrawn_calls or ():
             self._asked_calls.discard((link, call_id))
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_member_statuses.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_member_statuses.py
@@ -33,7 +33,7 @@
 
 
 def is_healthy(heard, timers):
-    return heard.statuses[0].is_well_for(900.0, timers.now_ms)
+    return heard.statuses[0].is_healthy_for(900.0, timers.now_ms)
 
 
 def test_a_member_is_well_once_it_has_said_so_for_a_while(heard, timers):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
@@ -189,7 +189,7 @@
         gateway=SimpleNamespace(on_link_broken=lambda link: None),
         metrics=FakeMetrics(),
         **capacity_attributes(),
-        learned_speeds=SimpleNamespace(take_untold=lambda: None),
+        learned_speeds=SimpleNamespace(take_unannounced=lambda: None),
     )
     desk = PeerDispatcher(daemon=daemon)
     for link in links:
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -126,7 +126,7 @@
     hurried = []
     daemon.membership.join_now = lambda: hurried.append(1)
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
     daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
     desk = daemon.peers = PeerDispatcher(daemon=daemon)
@@ -184,7 +184,7 @@
 def make_adviser(timers):
     daemon = make_daemon(timers, in_group=True, opened=[])
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
     daemon.advice = AdviceQueue()
     daemon.peers = PeerDispatcher(daemon=daemon)
@@ -231,11 +231,11 @@
     """News is told once in a while; who owns the cell next may have come since."""
     daemon = make_daemon(timers, in_group=False, opened=[])
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
     daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
     daemon.learned_speeds = SimpleNamespace(
-        take_untold=lambda: None, of_owners=lambda: ["all"]
+        take_unannounced=lambda: None, of_owned_cells=lambda: ["all"]
     )
     desk = PeerDispatcher(daemon=daemon)
     daemon.owners = {0: SimpleNamespace(epoch=1, is_serving=True)}
@@ -262,7 +262,7 @@
     hurried = []
     daemon.membership.join_now = lambda: hurried.append(timers.now_ms)
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
     daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
     desk = PeerDispatcher(daemon=daemon)
