--- a/packages/thymefork-daemon/src/thymefork_daemon/standby.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/standby.py
@@ -12,7 +12,7 @@
 
 # After a loss of all instances those of the best tier are back within about three
 # seconds.
-BETTER_RETURN_MS = 4_000.0
+BETTER_TIER_RETURN_MS = 4_000.0
 # Each tier between leaves the one above it the time to join and to be listed.
 NEXT_TIER_MS = 1_500.0
 # Where none is better than the least, this many take part: an owner, and two that can
@@ -115,7 +115,7 @@
         if not better:
             return self._share_ms
         between_ms = (better - 1) * NEXT_TIER_MS
-        return BETTER_RETURN_MS + between_ms + self._share_ms
+        return BETTER_TIER_RETURN_MS + between_ms + self._share_ms
 
     def _step_in(self, reason):
         line = logger.bind(
