--- a/packages/thymefork-daemon/src/thymefork_daemon/departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/departure.py
@@ -18,9 +18,9 @@
         self._daemon = daemon
 
     @property
-    def has_unstored(self):
+    def has_unstored_records(self):
         """Tell whether an owner has something that waits to be stored."""
-        return any(owner.has_unstored for owner in self._daemon.owners.values())
+        return any(owner.has_unstored_records for owner in self._daemon.owners.values())
 
     def leave(self, reason, *, for_good):
         """Tell the members what is not stored, end the owners and leave.
@@ -35,7 +35,7 @@
             steps.callback(daemon.owners.clear)
             for owner in list(daemon.owners.values()):
                 steps.callback(owner.end, reason)
-                steps.callback(owner.tell_ends)
+                steps.callback(owner.announce_ends)
 
     def _on_left(self, answer):
         self._daemon.peers.send_heartbeats()
--- a/packages/thymefork-daemon/src/thymefork_daemon/heard_end_buffer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/heard_end_buffer.py
@@ -41,7 +41,7 @@
         self._kept = {}  # by cell, then by the run and its worker
         self._handed_on = {}  # by cell, the latest epoch whose owner on a peer has it
 
-    def tell(self, cell, epoch, ends):
+    def announce(self, cell, epoch, ends):
         """Keep what an owner here has heard, and tell the other members."""
         self._keep(cell, epoch, ends)
         for link in self._daemon.peers.member_links:
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -278,4 +278,4 @@
 
     def _on_links_changed(self):
         for owner in list(self._daemon.owners.values()):  # one that is lost leaves it
-            owner.on_links()
+            owner.on_links_changed()
--- a/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
@@ -61,7 +61,7 @@
             self._store_away_ms = now_ms
             return True
         store_by_ms = max(self._began_ms, self._store_away_ms) + MAX_STORE_WAIT_MS
-        return self._departure.has_unstored and now_ms < store_by_ms
+        return self._departure.has_unstored_records and now_ms < store_by_ms
 
     def _store_is_away(self):
         if self._daemon.membership.store_lost:
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_heard_end_buffer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_heard_end_buffer.py
@@ -64,13 +64,13 @@
     daemon = SimpleNamespace(
         peers=SimpleNamespace(member_links=[FakeLink()]), metrics=FakeMetrics()
     )
-    HeardEndBuffer(daemon=daemon).tell(CELL, epoch, ends)
+    HeardEndBuffer(daemon=daemon).announce(CELL, epoch, ends)
     (message,) = daemon.peers.member_links[0].sent
     return message
 
 
 def test_every_member_is_told(daemon, timers):
-    HeardEndBuffer(daemon=daemon).tell(CELL, 3, [end(1), end(2)])
+    HeardEndBuffer(daemon=daemon).announce(CELL, 3, [end(1), end(2)])
     for link in daemon.peers.member_links:
         (message,) = link.sent
         assert (message.cell, message.epoch) == (CELL, 3)
@@ -146,14 +146,14 @@
 ):
     monkeypatch.setattr(heard_ends_module, "MOST_KEPT", 2)
     heard = HeardEndBuffer(daemon=daemon)
-    heard.tell(CELL, 3, [end(number) for number in range(5)])
+    heard.announce(CELL, 3, [end(number) for number in range(5)])
     assert len(heard.ends_before(CELL, 4)) == 2
     assert daemon.metrics.counts.count(("heard_ends", "dropped")) == 3
 
 
 def test_many_ends_go_in_messages_of_bounded_size(daemon, timers):
     ends = [end(number) for number in range(MAX_ENDS_PER_MESSAGE + 1)]
-    HeardEndBuffer(daemon=daemon).tell(CELL, 3, ends)
+    HeardEndBuffer(daemon=daemon).announce(CELL, 3, ends)
     sizes = [len(message.ends) for message in daemon.peers.member_links[0].sent]
     assert sizes == [MAX_ENDS_PER_MESSAGE, 1]
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
@@ -179,7 +179,9 @@
     links = [BreakingLink() for _ in range(3)]
     daemon = SimpleNamespace(
         timers=timers,
-        owners={0: SimpleNamespace(is_serving=True, epoch=1, on_links=lambda: None)},
+        owners={
+            0: SimpleNamespace(is_serving=True, epoch=1, on_links_changed=lambda: None)
+        },
         configuration=None,
         is_stopping=False,
         layout=SimpleNamespace(cells=0),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
@@ -20,15 +20,15 @@
 
 
 class FakeOwner:
-    """Own a cell; an append is under way while `has_unstored` is set."""
+    """Own a cell; an append is under way while `has_unstored_records` is set."""
 
     def __init__(self, log):
-        self.has_unstored = True
+        self.has_unstored_records = True
         self.store_answers = True
         self.ended = False
         self._log = log
 
-    def tell_ends(self):
+    def announce_ends(self):
         self._log.append("told")
 
     def end(self, reason):
@@ -65,7 +65,7 @@
     daemon.shutdown.begin()
     timers.run(100)
     assert not daemon.owner.ended
-    daemon.owner.has_unstored = False
+    daemon.owner.has_unstored_records = False
     timers.run(100)
     assert daemon.owner.ended and "left" in daemon.log
 
@@ -88,7 +88,7 @@
     daemon.owner.store_answers = True
     timers.run(100)
     assert not daemon.owner.ended  # what it heard is being stored
-    daemon.owner.has_unstored = False
+    daemon.owner.has_unstored_records = False
     timers.run(100)
     assert daemon.owner.ended and "left" in daemon.log
     assert daemon.shutdown.is_complete()
@@ -96,7 +96,7 @@
 
 def test_an_owner_without_the_store_keeps_cells_though_nothing_waits(daemon, timers):
     """What runs in them needs its leases renewed."""
-    daemon.owner.has_unstored = False
+    daemon.owner.has_unstored_records = False
     daemon.membership.store_lost = True
     daemon.shutdown.begin()
     timers.run(3_000)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
@@ -120,18 +120,18 @@
 
 
 def test_an_effect_that_fails_holds_up_none_of_the_others():
-    performer = EffectExecutor(
+    executor = EffectExecutor(
         cell_index=0,
         metrics=Metrics(),
         advisers=None,
-        orders=None,
+        command_sender=None,
         on_ends_stored=None,
-        tell_ends=None,
-        tell_speeds=None,
+        announce_ends=None,
+        announce_speeds=None,
     )
     replies = []
     reply = fx.Reply(request_id=replies.append, outcome=fx.Outcome.ACCEPTED)
-    performer.perform([object(), reply])
+    executor.execute([object(), reply])
     assert replies == [reply]
 
 
@@ -152,18 +152,18 @@
 
 def test_an_overloaded_owner_leaves_out_routine_lines_alone(writer, pipe):
     metrics = Metrics()
-    performer = EffectExecutor(
+    executor = EffectExecutor(
         cell_index=0,
         metrics=metrics,
         advisers=None,
-        orders=None,
+        command_sender=None,
         on_ends_stored=None,
-        tell_ends=None,
-        tell_speeds=None,
+        announce_ends=None,
+        announce_speeds=None,
         sheds=lambda kind: kind is SheddableWork.LOG_LINES,
     )
     replies = []
-    performer.perform(
+    executor.execute(
         [
             fx.Note(event="tasks_start"),
             fx.Note(event="job_ended"),
