--- a/packages/thymefork-daemon/src/thymefork_daemon/departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/departure.py
@@ -22,7 +22,7 @@
         """Tell whether an owner has something that waits to be stored."""
         return any(owner.has_unstored_records for owner in self._daemon.owners.values())
 
-    def leave(self, reason, *, for_good):
+    def leave(self, reason, *, permanent):
         """Tell the members what is not stored, end the owners and leave.
 
         Each step is taken though one before it failed: a cell that is kept half, or a
@@ -31,7 +31,7 @@
         daemon = self._daemon
         with ExitStack() as steps:  # the last one that is pushed comes first
             steps.callback(daemon.owned_cells.update)
-            steps.callback(daemon.membership.leave, self._on_left, for_good=for_good)
+            steps.callback(daemon.membership.leave, self._on_left, permanent=permanent)
             steps.callback(daemon.owners.clear)
             for owner in list(daemon.owners.values()):
                 steps.callback(owner.end, reason)
--- a/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
@@ -146,7 +146,7 @@
         self._set_timer(pending, pending.left_ms(), action)
 
     def _await_owner(self, call_id, pending):
-        in_vain = not pending.open_attempts and self._daemon.readiness.is_isolated
+        in_vain = not pending.open_attempts and self._daemon.readiness.is_disconnected
         if steady_ms() < pending.find_until_ms and not in_vain:
             self._set_timer(pending, FIND_PERIOD_MS, lambda: self._try(call_id))
         else:
--- a/packages/thymefork-daemon/src/thymefork_daemon/layout.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/layout.py
@@ -57,7 +57,7 @@
         """Return the best tier of which an instance has ever been there."""
         return max(self.tiers)
 
-    def note_tier(self, tier):
+    def add_tier(self, tier):
         """Take note of a tier that was heard of, perhaps new since the start."""
         self.tiers.add(tier)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/membership.py
@@ -87,7 +87,7 @@
         self._has_to_wait = must_wait
         self._notifier = ChangeNotifier(listener=on_change)
         self._left = False
-        self._left_for_good = False
+        self._has_left_permanently = False
         self._pending_joins = set()
         self._is_answered = True
 
@@ -96,7 +96,7 @@
 
         Who left for good does not come back: it serves nothing that is dealt to it.
         """
-        if self._left_for_good:
+        if self._has_left_permanently:
             return
         self._timers.cancel(self._join_timer)
         if self._left:
@@ -261,7 +261,7 @@
             return False
         return steady_ms() < self.valid_until_ms + grace_ms
 
-    def give_up(self, partition, epoch):
+    def drop_partition(self, partition, epoch):
         """Drop one whose epoch was refused; a later generation may bring it back."""
         self._refused_epochs[partition] = max(
             epoch, self._refused_epochs.get(partition, -1)
@@ -274,10 +274,10 @@
         """Tell whether a join has no answer yet; the store may still carry it out."""
         return bool(self._pending_joins)
 
-    def leave(self, on_done, *, for_good=False):
+    def leave(self, on_done, *, permanent=False):
         """Give all cells back at once."""
         self._left = True
-        self._left_for_good = self._left_for_good or for_good
+        self._has_left_permanently = self._has_left_permanently or permanent
         self._refused_epochs.update(self.epochs)
         self.epochs = {}
         self._send_leave(on_done)
--- a/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
@@ -43,7 +43,7 @@
         return all(self._hears_owner(cell) for cell in cells)
 
     @property
-    def is_isolated(self):
+    def is_disconnected(self):
         """Tell whether the others can serve what this instance, alone, can't.
 
         It has not heard an owner for so long that new connections go elsewhere, and
--- a/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
@@ -49,7 +49,7 @@
             self._daemon.timers.after(LEAVE_RETRY_MS, self._leave)
             return
         self._has_left = True
-        self._departure.leave("this instance stops", for_good=True)
+        self._departure.leave("this instance stops", permanent=True)
 
     def _has_to_stay(self):
         """Tell whether the cells are better kept for now."""
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
@@ -86,7 +86,7 @@
     membership = make()
     membership.start()
     deal(store, 3, 7)
-    membership.give_up(7, 3)
+    membership.drop_partition(7, 3)
     deal(store, 3, 7)
     assert 7 not in membership.epochs
     timers.run(300)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
@@ -38,11 +38,11 @@
     daemon.hears = daemon.can_read_store = False
     assert not readiness.check()
     timers.run(2_400)
-    assert not readiness.is_isolated
+    assert not readiness.is_disconnected
     timers.run(200)
-    assert readiness.is_isolated
+    assert readiness.is_disconnected
     daemon.hears = True
-    assert readiness.check() and not readiness.is_isolated
+    assert readiness.check() and not readiness.is_disconnected
 
 
 def test_an_instance_that_reads_the_store_waits_for_an_owner(daemon, timers):
@@ -50,7 +50,7 @@
     daemon.hears = False
     readiness.check()
     timers.run(5_000)
-    assert not readiness.is_isolated
+    assert not readiness.is_disconnected
 
 
 def test_an_instance_whose_owner_has_lost_the_store_is_not_ready(daemon, timers):
@@ -60,7 +60,7 @@
     assert not readiness.check()
     timers.run(5_000)
     # In an outage for all, callers that came back at once would use up their tries.
-    assert not readiness.is_isolated
+    assert not readiness.is_disconnected
 
 
 @pytest.mark.parametrize("store_lost", [True, False])
