--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
@@ -24,7 +24,7 @@
 
     def __init__(self, log):
         self.has_unstored_records = True
-        self.store_answers = True
+        self.is_store_responding = True
         self.ended = False
         self._log = log
 
@@ -79,13 +79,13 @@
 @pytest.mark.parametrize("away_by", ["joins", "appends"])
 def test_an_owner_keeps_its_cells_while_the_store_is_away(daemon, timers, away_by):
     daemon.membership.store_lost = away_by == "joins"
-    daemon.owner.store_answers = away_by != "appends"
+    daemon.owner.is_store_responding = away_by != "appends"
     daemon.shutdown.begin()
     timers.run(4_000)
     assert not daemon.owner.ended
     assert not daemon.shutdown.is_complete()
     daemon.membership.store_lost = False
-    daemon.owner.store_answers = True
+    daemon.owner.is_store_responding = True
     timers.run(100)
     assert not daemon.owner.ended  # what it heard is being stored
     daemon.owner.has_unstored_records = False
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
@@ -123,7 +123,7 @@
     executor = EffectExecutor(
         cell_index=0,
         metrics=Metrics(),
-        advisers=None,
+        advice_dispatcher=None,
         command_sender=None,
         on_ends_stored=None,
         announce_ends=None,
@@ -155,7 +155,7 @@
     executor = EffectExecutor(
         cell_index=0,
         metrics=metrics,
-        advisers=None,
+        advice_dispatcher=None,
         command_sender=None,
         on_ends_stored=None,
         announce_ends=None,
