--- a/packages/thymefork-daemon/src/thymefork_daemon/capacity/__init__.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""How well an instance can own cells, and how much its cells ask of it now."""
+"""Capacity and current load of an instance as an owner of cells."""
 
 from .handover_policy import HandoverPolicy
 from .load_shedding import LoadShedder, SheddableWork
--- a/packages/thymefork-daemon/src/thymefork_daemon/capacity/handover_policy.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/capacity/handover_policy.py
@@ -1,31 +1,33 @@
-"""When an instance gives its cells to a member that is better placed."""
+"""Rules for handing an instance's cells over to a better placed member."""
 
 from .tier import Tier
 
 __all__ = ["HandoverPolicy"]
 
-# A member that comes back has joined, has links and knows the store by then.
+# A rejoining member needs this long to join, open its links and reach the store.
 MIN_HEALTHY_MS = 1_000.0
-# Others of a lower tier would be dealt the cell; they leave first, or have this long.
+# An owner lets members of its tier or below leave first, for at most this long:
+# otherwise they would be assigned its cells.
 PEER_LEAVE_TIMEOUT_MS = 2_000.0
-# An owner is overloaded for good, not by one burst, after this long.
+# Ignores short bursts.
 MIN_OVERLOAD_MS = 1_500.0
-# A takeover is a load of its own, which is over by then.
+# Ignores the load of the takeover itself.
 MIN_OWNERSHIP_MS = 5_000.0
-# A member that takes a cell from an overloaded one has at least this much less to do.
+# Highest load of a member that may relieve an owner, relative to that owner's load.
 MAX_RELIEF_LOAD_RATIO = 0.5
-# After a handover the next one by this instance is this far off, then twice as far.
+# Delay between two handovers by this instance; doubles with each one.
 MIN_BACKOFF_MS = 5_000.0
 MAX_BACKOFF_MS = 60_000.0
-# An instance that had no cause for so long begins anew with the shortest pause.
+# The backoff starts over if the last handover is longer ago than this.
 BACKOFF_RESET_MS = 120_000.0
 
 
 class HandoverPolicy:
-    """Decide on leaving the group; `pause_ms` grows with each time in a row.
+    """Decide when this instance leaves the group, with exponential backoff.
 
-    One takeover costs callers some tenths of a second; a bad owner costs as long as it
-    is owner, and one that comes and goes costs a takeover each time.
+    Each handover interrupts callers for the duration of a takeover, so leaving has to
+    pay off: an unsuitable owner costs for as long as it owns, but a member that joins
+    and leaves repeatedly costs a takeover each time.
     """
 
     def __init__(self, *, tier, address):
@@ -40,11 +42,11 @@
 
     @property
     def cooldown_until_ms(self):
-        """Return until when an instance that handed over better stays out."""
+        """Return until when an instance that handed over stays out of the group."""
         return self._last_left_ms + self._backoff_ms
 
     def on_left(self, now_ms):
-        """Take note that the cells were handed over."""
+        """Record a handover and extend the backoff."""
         if now_ms - self._last_left_ms > BACKOFF_RESET_MS:
             self._backoff_ms = 0.0
         self._backoff_ms = min(
@@ -55,7 +57,7 @@
         self._overloaded_since_ms = self._owns_since_ms = None
 
     def reason(self, now_ms, *, local, statuses):
-        """Return why to leave the group now, or None; called often by a member."""
+        """Return why this member should leave the group now, or None."""
         self._track_state(now_ms, local)
         better = self._is_better_tier_available(now_ms, statuses, owns=local.owns)
         self._better_tier_since_ms = _since(self._better_tier_since_ms, better, now_ms)
@@ -74,7 +76,7 @@
         return None
 
     def is_still_valid(self, reason, now_ms, *, local, statuses):
-        """Tell whether the cells are still better given away for this reason."""
+        """Return whether a handover that has begun for this reason should go on."""
         if not local.may_hand_over:
             return False
         if reason == "better_tier":
@@ -83,7 +85,7 @@
         return is_overloaded and self._is_relief_available(now_ms, local, statuses)
 
     def best_tier(self, now_ms, statuses):
-        """Return the best tier among members that are well, as far as was heard."""
+        """Return the best tier of all healthy members, or None if none is known."""
         tiers = [
             status.tier
             for status in statuses
@@ -102,7 +104,11 @@
         )
 
     def _is_better_tier_available(self, now_ms, statuses, *, owns):
-        """Tell whether a better member can own, by its own heartbeat or an owner's."""
+        """Return whether a healthy member has a better tier.
+
+        An instance that owns nothing also relies on what owners report of other
+        members.
+        """
         best = self.best_tier(now_ms, statuses)
         if best is not None and best > self._tier:
             return True
@@ -131,7 +137,7 @@
         return not others or now_ms - self._better_tier_since_ms > PEER_LEAVE_TIMEOUT_MS
 
     def _current_backoff_ms(self, now_ms):
-        """Return for how long better members have to stay before the next handover."""
+        """Return how long a better member has to be available before a handover."""
         return (
             0.0 if now_ms - self._last_left_ms > BACKOFF_RESET_MS else self._backoff_ms
         )
@@ -144,10 +150,10 @@
         return now_ms - self._overloaded_since_ms >= MIN_OVERLOAD_MS
 
     def _is_relief_available(self, now_ms, local, statuses):
-        """Tell whether a member without a cell could take one, and it is our turn.
+        """Return whether a member that owns no cell could take over from this owner.
 
-        Owners that are overloaded at once leave one after the other: the store deals
-        evenly, so two that leave for one member would burden it with both cells.
+        Overloaded owners leave one at a time: the group spreads cells evenly, so the
+        cells of two that leave at once could all go to the same member.
         """
         fresh = [status for status in statuses if status.is_fresh(now_ms)]
         if not _are_all_cells_served(local, fresh) or not self._is_most_loaded(
@@ -164,7 +170,7 @@
         )
 
     def _is_most_loaded(self, load, fresh):
-        """Tell whether no other owner has more to do; one of two equals is first."""
+        """Return whether no other owner has more load; ties go to the lower address."""
         local = (-load.percent, self._address)
         return all(
             local < (-status.load_percent, status.address)
@@ -174,13 +180,13 @@
 
 
 def _are_all_cells_served(local, fresh):
-    """Tell whether no cell is on its way to a member that does not say so yet."""
+    """Return whether each cell has an owner that reports it."""
     served = local.owned.union(*(status.owned for status in fresh))
     return served.issuperset(range(local.cells))
 
 
 def _since(since_ms, holds, now_ms):
-    """Return since when something holds, None if it does not."""
+    """Return since when a condition holds, or None if it does not."""
     if not holds:
         return None
     return now_ms if since_ms is None else since_ms
--- a/packages/thymefork-daemon/src/thymefork_daemon/capacity/load_shedding.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/capacity/load_shedding.py
@@ -1,4 +1,4 @@
-"""What an overloaded owner puts off, least important first."""
+"""Shedding of lower-priority work by an overloaded owner."""
 
 from enum import IntEnum
 
@@ -6,51 +6,52 @@
 
 
 class SheddableWork(IntEnum):
-    """Name what can wait, in the order in which it is put off.
+    """Kinds of work that can be shed, in the order in which they are.
 
-    Whatever keeps a promise is none of these and is never put off: renewals of leases,
-    stops, appends, starts, looks at workers with runs, accepting and answering callers.
+    Lease renewals, stops, starts, appends, polls of workers with runs and requests of
+    callers are never shed.
     """
 
-    # Lines that come with every task or worker: nothing decides by them, and others
-    # tell what became of a job.
+    # Routine log lines of each task or worker; the outcome of a job is logged
+    # elsewhere.
     LOG_LINES = 1
-    # Acknowledging ends to a worker with nothing else: it keeps them until then.
+    # Acknowledgements of run ends to workers without runs; they keep the ends until
+    # then.
     IDLE_LOOKS = 2
-    # Tickets of a step whose turn has not come; it may need them in a while.
+    # Tickets for steps that are not due yet.
     EARLY_ADVICE = 3
 
 
-# The load from which each kind is put off. The first costs nobody anything; the last
-# may cost a step the time of a call, which an overloaded owner costs everybody.
+# Load from which each kind is shed: the cheapest first. The last may delay a step by
+# one call to the advice service.
 SHED_THRESHOLDS = {
     SheddableWork.LOG_LINES: 0.6,
     SheddableWork.IDLE_LOOKS: 0.7,
     SheddableWork.EARLY_ADVICE: 0.8,
 }
-# A kind is taken up again at this share of the load from which it is put off, so that
-# what it saves does not bring it back at once.
+# A kind resumes at this fraction of its threshold: hysteresis, since shedding itself
+# lowers the load.
 RESUME_FRACTION = 0.6
 
 
 class LoadShedder:
-    """Tell which work is put off at an owner's present load, with hysteresis."""
+    """Select the kinds of work to shed at the current load, with hysteresis."""
 
     def __init__(self, *, load):
         self._load = load
         self._kinds = set()
 
     def sheds(self, kind):
-        """Tell whether a kind of work is put off now."""
+        """Return whether a kind of work is shed now."""
         return kind in self._kinds
 
     @property
     def kinds(self):
-        """Return all kinds that are put off now, in their order."""
+        """Return all kinds that are shed now, in their order."""
         return sorted(self._kinds)
 
     def update(self):
-        """Take up or put off what the load, sampled a moment ago, asks for."""
+        """Update the shed kinds from the latest load."""
         self._kinds = {
             kind
             for kind, threshold in SHED_THRESHOLDS.items()
--- a/packages/thymefork-daemon/src/thymefork_daemon/capacity/local_status.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/capacity/local_status.py
@@ -1,4 +1,4 @@
-"""What an instance knows of itself when it decides on giving cells away."""
+"""This instance's own status, on which the handover policy decides."""
 
 from attrs import frozen
 
@@ -9,10 +9,10 @@
 
 @frozen(kw_only=True)
 class LocalStatus:
-    """Hold what this instance owns of so many cells, and how it fares.
+    """Hold the cells owned here, out of all `cells`, and the current load.
 
-    `may_hand_over` tells that the store answers and that this instance goes on;
-    `serves` that no takeover is under way.
+    `may_hand_over` is true if the store takes appends and this instance is not
+    stopping; `serves` is true if no takeover is in progress.
     """
 
     cells: int
@@ -23,5 +23,5 @@
 
     @property
     def owns(self):
-        """Tell whether a cell is owned, or being taken over."""
+        """Return whether a cell is owned here, or being taken over."""
         return bool(self.owned)
--- a/packages/thymefork-daemon/src/thymefork_daemon/capacity/member_status.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/capacity/member_status.py
@@ -1,4 +1,4 @@
-"""What an instance last said of itself as a member of the group."""
+"""The status that a peer last reported in its heartbeat."""
 
 from attrs import define
 
@@ -6,18 +6,18 @@
 
 __all__ = ["MemberStatus"]
 
-# Two heartbeats and some; what was said before may not hold any more.
+# Slightly more than two heartbeat intervals.
 FRESH_MS = 650.0
 
 
 @define(kw_only=True)
 class MemberStatus:
-    """Hold a peer's last heartbeat as far as it bears on who should own cells.
+    """Hold the part of a peer's last heartbeat that decides who should own cells.
 
-    `owned` are the cells that it serves; `join_ms` is how long its last join took, 0 if
-    it takes no part; `best_tier` is the best tier that it knows among members that are
-    well; `healthy_since_ms` is since when each heartbeat has said that it can own, else
-    None.
+    `owned` are the cells that the peer serves; `join_ms` is the duration of its last
+    join, or 0 if it is not in the group; `best_tier` is the best tier that it knows
+    among healthy members; `healthy_since_ms` is since when every heartbeat has reported
+    that it can own cells, or None.
     """
 
     address: str
@@ -33,15 +33,15 @@
 
     @property
     def owns(self):
-        """Tell whether it serves a cell."""
+        """Return whether the peer serves any cell."""
         return bool(self.owned)
 
     def is_fresh(self, now_ms):
-        """Tell whether it was said a moment ago."""
+        """Return whether the status is recent enough to rely on."""
         return now_ms - self.heard_ms < FRESH_MS
 
     def is_healthy_for(self, duration_ms, now_ms):
-        """Tell whether the peer has been able to own for a while, and is now."""
+        """Return whether the peer has been able to own cells for this long."""
         if self.healthy_since_ms is None or not self.is_fresh(now_ms):
             return False
         return now_ms - self.healthy_since_ms >= duration_ms
--- a/packages/thymefork-daemon/src/thymefork_daemon/capacity/owner_capacity.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/capacity/owner_capacity.py
@@ -1,4 +1,4 @@
-"""How well an instance can own a cell, by its settings."""
+"""Suitability of an instance as an owner, derived from its settings."""
 
 from attrs import frozen
 
@@ -6,26 +6,26 @@
 
 __all__ = ["OwnerCapacity"]
 
-# What deciding for one worker uses; docs/CAPACITY.md says how to find it for other
-# hardware. The link carries both ways together.
+# Usage per worker of a cell; docs/CAPACITY.md describes how to determine it for other
+# hardware. The link figure covers both directions together.
 MILLICORES_PER_WORKER = 2.0
 LINK_MBPS_PER_WORKER = 0.03
 MEMORY_MB_PER_WORKER = 0.15
-# The interpreter with all modules loaded.
+# Memory of the interpreter with all modules loaded.
 PROCESS_MEMORY_MB = 40.0
-# A takeover reads and asks everything at once, and callers come in bursts of twice the
-# usual rate.
+# Covers takeovers and bursts of twice the usual request rate.
 HEADROOM_FACTOR = 2.0
 
 
 @frozen(kw_only=True)
 class OwnerCapacity:
-    """Compare what an instance has with what a cell of so many workers needs.
+    """Compare an instance's resources with what a cell of a given size needs.
 
-    A figure that is 0 is unknown and counts as enough: an operator who tells nothing
-    of a link has instances that are told apart by what is told. The cell is as large
-    as cells are cut, not as it is now: workers come and go, and an instance's tier
-    may not change with them. Units: cores, megabits a second, megabytes.
+    A value of 0 is unknown and counts as sufficient. `cell_workers` is the size for
+    which cells are laid out rather than the current number of workers, so that the tier
+    stays constant.
+
+    Units: cores, Mbit/s, MB.
     """
 
     cores: float
@@ -37,8 +37,9 @@
     def tier(self):
         """Return the tier.
 
-        The processor alone tells the least from the others: a cell that can't be
-        decided in time serves nobody, one whose bytes wait serves late.
+        Only a shortage of processor time leads to the lowest tier: a cell without
+        enough of it serves no request in time, while a slow link or little memory only
+        delays some.
         """
         if "processor" in self.lacks:
             return Tier.LEAST
@@ -46,7 +47,7 @@
 
     @property
     def lacks(self):
-        """Return the names of what does not hold a cell's peaks."""
+        """Return the names of the resources that can't carry a cell's peak load."""
         rows = (
             ("processor", self.cores * 1000.0, self._peak_millicores),
             ("link", self.link_mbps, self._peak_link_mbps),
--- a/packages/thymefork-daemon/src/thymefork_daemon/capacity/owner_load.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/capacity/owner_load.py
@@ -1,4 +1,4 @@
-"""How much an owner's cells ask of it, by what it sees of itself."""
+"""Load of an owner, derived from its own measurements."""
 
 import math
 
@@ -6,26 +6,26 @@
 
 __all__ = ["OwnerLoad", "Pressure"]
 
-# At these an owner alone takes what the shortest objectives leave beside the work: a
-# quarter of a second, of which the way there and back needs some.
+# At these limits no time is left for the shortest latency objective of 250 ms, which
+# includes a network round trip.
 MAX_LAG_MS = 200.0
 MAX_APPEND_MS = 200.0
 MAX_QUEUED_MS = 200.0
-# A process that decides this much of the time can't catch up after a burst.
+# A process busier than this can't catch up after a burst.
 MAX_BUSY_FRACTION = 0.95
-# An append usually takes twice as long as a join; where both are slow, it is the store.
+# An append slower than this many joins is slow because of the owner, not the store.
 APPEND_TO_JOIN_RATIO = 3.0
-# A burst of a few turns is no overload.
+# Time constant of the moving average; keeps short bursts from counting as overload.
 SMOOTHING_MS = 1_000.0
-# A process that was paused sees one late turn, which says nothing of the next ones.
+# Bounds the weight of a late sample, as after a pause of the process.
 MAX_SAMPLE_INTERVAL_MS = 200.0
-# Where an owner counts as overloaded, and where no more.
+# Loads at which the overloaded state begins and ends.
 OVERLOAD_ENTER, OVERLOAD_EXIT = 1.0, 0.5
 
 
 @frozen(kw_only=True)
 class Pressure:
-    """Hold what was seen since the last time, each as a share of what is bearable."""
+    """Hold each measurement since the last sample, as a fraction of its limit."""
 
     lag: float = 0.0
     busy: float = 0.0
@@ -34,14 +34,15 @@
 
     @property
     def highest(self):
-        """Return the largest: what is short decides, however well the rest is."""
+        """Return the highest component, since the scarcest resource decides."""
         return max(self.lag, self.busy, self.append, self.queued)
 
 
 class OwnerLoad:
-    """Sum up turns, appends and queues; smoothed, with hysteresis both ways.
+    """Combine cycle lag, processor use, append time and queues into one load value.
 
-    `link_mbps` is 0 where it is not known; queues then don't count.
+    The value is smoothed, and the overloaded state has hysteresis. `link_mbps` is 0 if
+    it is not known; queues are ignored then.
     """
 
     def __init__(self, *, link_mbps):
@@ -49,7 +50,7 @@
         self.reset()
 
     def reset(self):
-        """Begin anew, since nothing is owned any more."""
+        """Discard all measurements, once no cell is owned any more."""
         self._last_sample_ms = None
         self._lag_ms = 0.0
         self._busy_ms = 0.0
@@ -60,20 +61,20 @@
 
     @property
     def percent(self):
-        """Return the load in percent of what is bearable."""
+        """Return the load in percent of the limit."""
         return round(100 * self.value)
 
     def record_cycle(self, *, lag_ms, busy_ms):
-        """Take how late a turn began and how long it took."""
+        """Record how late a cycle began and how long it took."""
         self._lag_ms = max(self._lag_ms, lag_ms)
         self._busy_ms += busy_ms
 
     def record_append(self, took_ms):
-        """Take how long an append took."""
+        """Record the duration of an append."""
         self._append_ms = max(self._append_ms, took_ms)
 
     def sample(self, now_ms, *, join_ms, queued_bytes):
-        """Sum up what came since the last time."""
+        """Update the load from all measurements since the last sample."""
         if self._last_sample_ms is None:
             self._last_sample_ms = now_ms
         span_ms = now_ms - self._last_sample_ms
--- a/packages/thymefork-daemon/src/thymefork_daemon/capacity/tier.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/capacity/tier.py
@@ -1,4 +1,4 @@
-"""The tiers of instances as owners of cells."""
+"""Tiers of instances by their suitability as owners of cells."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class Tier(IntEnum):
-    """Sort instances by what they can hold; the numbers are sent to peers."""
+    """Rank an instance as an owner; the numbers are sent to peers."""
 
     LEAST = 1
     PARTIAL = 2
@@ -14,5 +14,5 @@
 
     @classmethod
     def from_number(cls, number):
-        """Return the tier that a peer told, or None if it told none that is known."""
+        """Return the tier with a number sent by a peer, or None if it is unknown."""
         return cls(number) if number in cls._value2member_map_ else None
--- a/packages/thymefork-daemon/src/thymefork_daemon/handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/handover.py
@@ -1,4 +1,4 @@
-"""Giving cells to members that are better placed, by leaving the group for them."""
+"""Handover of cells to better placed members, by leaving the group."""
 
 from loguru import logger
 
@@ -11,13 +11,16 @@
 __all__ = ["Handover"]
 
 CHECK_INTERVAL_MS = 100.0
-# The answer to a join that is under way: carried out after the leave, it would have
-# this instance dealt a cell that it does not look after.
+# A join that the store carried out after the leave would assign cells to this instance
+# again, so a pending join is awaited for this long.
 MAX_JOIN_WAIT_MS = 200.0
 
 
 class Handover:
-    """Leave the group while others own better; the standby comes back when needed."""
+    """Leave the group while other members are better owners.
+
+    The standby joins again when this instance is needed.
+    """
 
     def __init__(self, *, daemon, tier, address):
         self._daemon = daemon
@@ -29,11 +32,11 @@
 
     @property
     def cooldown_until_ms(self):
-        """Return until when this instance better stays out of the group."""
+        """Return until when this instance should stay out of the group."""
         return self._rule.cooldown_until_ms
 
     def best_tier(self):
-        """Return the best tier among members that are well, as far as was heard."""
+        """Return the best tier of all healthy members, or None if none is known."""
         return self._rule.best_tier(steady_ms(), self._statuses())
 
     def _statuses(self):
@@ -41,7 +44,7 @@
 
     @property
     def is_in_progress(self):
-        """Tell whether this instance has decided to leave and not left yet."""
+        """Return whether this instance has decided to leave but not left yet."""
         return self._reason is not None
 
     def _check(self):
@@ -65,16 +68,17 @@
         )
 
     def _record_known_tiers(self):
-        """Have the standby know of better tiers that came after this instance."""
+        """Record better tiers of new members, for the standby's decisions."""
         for status in self._statuses():
             for tier in (status.tier if status.can_own else None, status.best_tier):
                 if tier is not None:
                     self._daemon.layout.add_tier(tier)
 
     def _may_hand_over(self):
-        """Tell whether the store takes what there is to store, and this goes on.
+        """Return whether the store takes appends and this instance is not stopping.
 
-        An owner whose link is full has slow appends, so slow ones don't hold it here.
+        Slow appends alone don't prevent a handover: an owner with a saturated link has
+        them, too.
         """
         daemon = self._daemon
         if daemon.is_stopping or not daemon.membership.is_stable:
@@ -84,9 +88,9 @@
         return not any(owner.is_store_unavailable for owner in daemon.owners.values())
 
     def _store_is_slow(self):
-        """Tell whether the store is slow for all, not for this instance alone.
+        """Return whether the store is slow for all members.
 
-        A takeover reads the whole cell, which takes long then.
+        A takeover reads the whole cell and would take long then.
         """
         join_ms = self._daemon.peers.member_statuses.join_ms()
         if join_ms is None:
@@ -95,7 +99,7 @@
 
     def _begin(self, reason):
         self._reason, self._started_ms = reason, steady_ms()
-        self._event_logger("handover_begins").info("{}", reason)
+        self._event_logger("handover_begins").info("handover begins: {}", reason)
         self._proceed()
 
     def _event_logger(self, event):
@@ -115,7 +119,7 @@
         )
 
     def _proceed(self):
-        """Leave once all is stored, if the reason to still holds."""
+        """Leave once all records are stored, if the reason still holds."""
         if not self._is_still_valid():
             self._cancel()
         elif self._must_wait():
@@ -133,9 +137,9 @@
 
     def _cancel(self):
         self._daemon.metrics.count("owner_handovers_given_up", self._reason)
-        why = "nobody is better placed any more"
+        why = "the reason for the handover no longer holds"
         if not self._may_hand_over():
-            why = "the store went away, or this stops"
+            why = "the store is unavailable or this instance is stopping"
         self._event_logger("handover_given_up").info("{}", why)
         self._reason = None
 
@@ -150,9 +154,9 @@
         reason, daemon = self._reason, self._daemon
         if daemon.owners:
             daemon.metrics.count("owner_handovers", reason)
-            self._event_logger("handed_over").info("{}", reason)
+            self._event_logger("handed_over").info("cells handed over: {}", reason)
         else:
-            self._event_logger("stands_by_again").info("{}", reason)
+            self._event_logger("stands_by_again").info("standing by: {}", reason)
         self._reason = None
         self._rule.on_left(steady_ms())
         daemon.standby.on_left()
--- a/packages/thymefork-daemon/src/thymefork_daemon/join_deferral.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/join_deferral.py
@@ -1,24 +1,24 @@
-"""Who joins the group first once the store is back after an outage for all."""
+"""Deferral of this instance's join until the cells' owners have joined."""
 
 from thymefork_net import steady_ms
 
 __all__ = ["JoinDeferral"]
 
-# Once the store answers this instance's reads for this long, an owner that still has
-# not joined is cut off by itself: two of its tries to join, and the beat that tells.
+# Once the store has been available for this long, enough for two joins and a heartbeat,
+# an owner that has not joined has a fault of its own.
 OWNER_JOIN_TIMEOUT_MS = 400.0
-# A read is answered in 5 to 7 ms; where the first one took longer than this, the store
-# was away when this instance was started.
+# A first read that takes longer than this means that the store was unavailable when
+# this instance started.
 STORE_OUTAGE_MIN_MS = 100.0
 
 
 class JoinDeferral:
-    """Let an owner that waits for the store, as this instance does, join before it.
+    """Let the owners join first after a store outage.
 
-    Memberships may have run out in the outage. Whoever joins first is dealt the cells.
-    The owner knows the addresses of all workers; entries of theirs that lapsed come
-    back up to two seconds later, and a successor can start nothing there until then.
-    The owner also knows what ended in the outage.
+    Memberships may have expired in the outage, and the first members to join are
+    assigned the cells. A previous owner knows the addresses of all workers and which
+    runs ended in the outage; a new one could start nothing until the workers have
+    registered again.
     """
 
     def __init__(self, *, daemon):
@@ -26,7 +26,7 @@
         self._first_check_ms = None
 
     def must_wait(self):
-        """Tell whether this instance's own join has to wait."""
+        """Return whether this instance has to wait with its join."""
         if self._daemon.owners:
             return False
         if not self._daemon.membership.in_group:
@@ -34,10 +34,10 @@
         return self._must_wait_as_member()
 
     def _must_wait_as_new_instance(self):
-        """Tell whether the members, whom a newcomer can't know yet, go first.
+        """Return whether to let the members join first, which are not known here yet.
 
-        It sends nothing until its reads are answered: the store may carry out, on its
-        return, a join that it did not answer.
+        No join is sent before the store answers a read: the store may carry out an
+        unanswered join once it is available again.
         """
         now_ms = steady_ms()
         self._first_check_ms = self._first_check_ms or now_ms
--- a/packages/thymefork-daemon/src/thymefork_daemon/learned_speeds.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/learned_speeds.py
@@ -1,4 +1,4 @@
-"""How fast machines turned out, as owners learned it, kept for the next owners."""
+"""Machine speeds learned by owners, kept for the cells' next owners."""
 
 from attrs import frozen
 
@@ -8,11 +8,12 @@
 
 __all__ = ["LearnedSpeeds"]
 
-# What still holds is told again meanwhile; one telling may be missed.
+# Owners announce unchanged speeds again within this time; one announcement may be
+# missed.
 RETENTION_MS = 3.0 * REANNOUNCE_MS
-# Some 20 bytes each on a link, a few times that in memory.
+# Bounds memory and the size of heartbeats.
 MAX_SPEEDS_PER_CELL = 4_000
-# Far beyond what sound machines differ by; a peer's figure is bounded by it.
+# Plausible limit for speeds announced by peers.
 MAX_LOG_SLOWNESS = 3.0
 
 
@@ -23,10 +24,10 @@
 
 
 class LearnedSpeeds:
-    """Take what owners tell; an owner that begins here starts from it.
+    """Keep the speeds that owners announce, as a start for an owner on this instance.
 
-    It is told in heartbeats to the members of the group, never stored, and an instance
-    that has heard nothing learns anew.
+    Speeds are announced in heartbeats to members of the group and never stored; an
+    instance that has received none learns them anew.
     """
 
     def __init__(self, *, daemon):
@@ -35,21 +36,21 @@
         self._unannounced = []
 
     def announce(self, cell, epoch, speeds):
-        """Keep what an owner here has learned; the next heartbeat tells it."""
+        """Keep speeds that a local owner learned; the next heartbeat sends them."""
         self._keep(cell, speeds)
         self._unannounced.append(_to_message(cell, epoch, speeds))
         self._daemon.metrics.count("speeds", "told", len(speeds))
 
     def take_unannounced(self):
-        """Return what the next heartbeat tells, None if nothing.
+        """Return what the next heartbeat announces, or None.
 
-        Where no member hears it, nothing is lost: one that comes is told all.
+        A member that joins later is sent all speeds separately.
         """
         unannounced, self._unannounced = self._unannounced, []
         return unannounced or None
 
     def of_owned_cells(self):
-        """Return what is known of the cells owned here, for a member that has come."""
+        """Return the speeds of all cells owned here, for a new member."""
         messages = [
             _to_message(cell, owner.epoch, self.of(cell))
             for cell, owner in self._daemon.owners.items()
@@ -57,7 +58,7 @@
         return [message for message in messages if message.speeds] or None
 
     def on_message(self, message):
-        """Keep what a peer tells, unless a later owner serves here by now."""
+        """Keep speeds that a peer announced, unless a later owner serves here."""
         owner = self._daemon.owners.get(message.cell)
         if owner is not None and owner.epoch > message.epoch:
             return
@@ -71,7 +72,7 @@
         self._keep(message.cell, speeds)
 
     def of(self, cell):
-        """Return what is kept of a cell's machines."""
+        """Return the speeds kept for a cell's machines."""
         now_ms = steady_ms()
         kept = self._entries_by_cell.get(cell, {}).values()
         return [row.speed for row in kept if row.expires_ms > now_ms]
--- a/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
@@ -1,4 +1,4 @@
-"""The cells that this instance owns."""
+"""The cells owned by this instance."""
 
 from .owner import CellOwner
 
@@ -6,9 +6,9 @@
 
 
 class OwnedCells:
-    """Keep an owner for each cell that is dealt to this instance; `owners` maps them.
+    """Manage one owner for each cell assigned to this instance, in `owners` by cell.
 
-    What concerns all cells goes to their owners from here.
+    Events that concern all cells are forwarded to their owners.
     """
 
     def __init__(self, *, daemon):
@@ -16,7 +16,7 @@
         self._daemon = daemon
 
     def update(self):
-        """Follow the deal: give up what is another's now, take over what is new."""
+        """Follow the assignment: end owners of lost cells and take over new ones."""
         if not self._daemon.layout.cells:
             return
         epochs = self._assigned_epochs()
@@ -31,7 +31,7 @@
                 owner.start()
 
     def _assigned_epochs(self):
-        """Return the epoch of each cell whose partition is dealt to this instance."""
+        """Return the epoch of each cell whose partition is assigned here."""
         layout, assigned = self._daemon.layout, self._daemon.membership.epochs
         partitions = {cell: layout.partition_of(cell) for cell in range(layout.cells)}
         return {
@@ -43,44 +43,44 @@
     def _end_unassigned(self, epochs):
         for cell, owner in list(self.owners.items()):
             if epochs.get(cell) != owner.epoch:
-                owner.end("the cell was dealt to another instance")
+                owner.end("the cell was assigned to another instance")
                 del self.owners[cell]
                 self._daemon.peers.send_heartbeats()
 
     # From the owners ---------------------------------------------------------
 
     def on_ownership_lost(self, owner):
-        """Drop a cell; a later generation of the group may bring it back."""
+        """Remove a cell; a later generation of the group may assign it again."""
         if self.owners.get(owner.cell_index) is owner:
             del self.owners[owner.cell_index]
         partition = self._daemon.layout.partition_of(owner.cell_index)
         self._daemon.membership.drop_partition(partition, owner.epoch)
 
     def on_serving(self):
-        """Tell the other instances at once."""
+        """Announce the new ownership to all peers without delay."""
         self._daemon.peers.send_heartbeats()
 
     # To the owners -----------------------------------------------------------
 
     def on_peer_ownership(self, owned_cells):
-        """Give up a cell that a peer serves under a later epoch."""
+        """Drop a cell that a peer serves under a later epoch."""
         for owned in owned_cells:
             owner = self.owners.get(owned.cell)
             if owner is not None and owned.epoch > owner.epoch:
-                owner.drop_ownership(f"a peer owns it under epoch {owned.epoch}")
+                owner.drop_ownership(f"a peer owns the cell under epoch {owned.epoch}")
 
     def on_worker_list(self):
-        """Take the platform's list of workers."""
+        """Forward an update of the platform's worker list."""
         for owner in list(self.owners.values()):
             owner.on_worker_list()
 
     def on_configuration(self, configuration):
-        """Take a newer configuration."""
+        """Forward a new configuration."""
         for owner in self.owners.values():
             owner.on_configuration(configuration)
 
     def on_settings(self):
-        """Take the settings that were read again."""
+        """Apply reloaded settings."""
         for owner in self.owners.values():
             if owner.cell is not None:
                 owner.cell.context.bounds = self._daemon.settings.bounds
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/__init__.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/__init__.py
@@ -1,4 +1,4 @@
-"""Owning a cell: taking it over, storing its records, carrying its effects out."""
+"""Ownership of a cell: takeover, storing records and executing effects."""
 
 from .advice_dispatcher import AdviceDispatcher
 from .append_pipeline import AppendPipeline
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
@@ -1,4 +1,4 @@
-"""Calls to the advice service, spread over the instances."""
+"""Distribution of calls to the advice service over the instances."""
 
 import heapq
 import random
@@ -14,28 +14,28 @@
 
 __all__ = ["AdviceDispatcher"]
 
-# A call is given up after its cost by the service's figures, times this, plus slack
-# for links: the service may be a little slow, and works on one call of an instance
-# after another, so that another owner's call there may come first.
+# A call times out after its expected duration times this factor, plus slack for links:
+# the service handles one call of an instance after another, so another owner's call may
+# come first.
 TIMEOUT_FACTOR = 2.5
 TIMEOUT_SLACK_MS = 500.0
 # An instance that did not answer gets no calls for this long.
 PAUSE_MS = 1_500.0
-# Calls are numbered across all owners of this process, from a number of its own: an
-# answer names nothing but its call, and must not fit one of another cell, of a former
-# ownership or of a former life. The wire's numbers end at 2 to the 63rd; half of them
-# are left to count on.
+# Call ids start at a random number and count up for all owners of this process, so that
+# an answer never matches a call of another cell, ownership or process. The wire type is
+# a signed 64-bit integer.
 MAX_FIRST_CALL_ID = 2**62
 _CALL_IDS = count(random.SystemRandom().randrange(1, MAX_FIRST_CALL_ID))
 
 
 class AdviceDispatcher:
-    """Give each instance one call at a time, the most urgent first, none for ever.
+    """Send each instance one call at a time, the most urgent first, with a timeout.
 
-    `on_answer(step, worker_ids, tickets, valid_ms)` takes each outcome; tickets are
-    None where no answer came. `start_fraction`, from 0 to 1, is where this owner begins among
-    the instances: owners that all began with the same ones would wait for each other.
-    `tell_withdrawn(link, call_ids)` tells an instance of calls that nobody wants.
+    `on_answer(step, worker_ids, tickets, valid_ms)` takes each result; `tickets` is
+    None if there was no answer. `start_fraction`, from 0 to 1, is the position at which
+    this owner starts in the list of instances; with different positions, owners don't
+    wait for each other's calls. `notify_withdrawn(link, call_ids)` tells an instance
+    which calls are no longer wanted.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._reserve = ShortCallReserve(now_ms=steady_ms())
 
     def update(self, links):
-        """Take the links to the other instances that are open now."""
+        """Update the proxies from the open links to other instances."""
         names = {link.peer.instance: link for link in links}
         for name, link in names.items():
             proxy = self._proxies.setdefault(name, AdviceProxy(name=name))
@@ -76,17 +76,17 @@
         self._dispatch()
 
     def _remove(self, names):
-        """Forget instances; all of them before the first call there is failed.
+        """Remove instances, all of them before any call at one fails.
 
-        What waits would go out on a broken link otherwise. A call that is failed may
-        lead to others, and a link that breaks under those comes back to here.
+        A failed call may lead to new ones, which must not be sent over a broken link; a
+        link that breaks then calls this method again.
         """
         gone = [self._proxies.pop(name) for name in sorted(names)]
         for proxy in gone:
             self._fail(proxy)
 
     def end(self):
-        """Make no more calls and wait for none: they are the next owner's to make."""
+        """Discard all calls; the next owner of the cell makes its own."""
         self._ended = True
         self._waiting.clear()
         self._proxy_by_call.clear()
@@ -97,8 +97,8 @@
     def withdraw_unwanted(self):
         """Drop the calls for jobs that have ended.
 
-        What another instance has not passed on to the service yet is not made there;
-        one that the service works on is let be, and keeps the instance busy.
+        Other instances are asked not to make the calls that they have not sent yet. A
+        call that the service has started goes on and keeps its instance busy.
         """
         wanted = [row for row in self._waiting if is_wanted(row[3])]
         if len(wanted) < len(self._waiting):
@@ -114,18 +114,18 @@
         for proxy in unwanted:
             proxy.is_withdrawn = True
             self._metrics.count("advice_withdrawn", "under_way")
-        for proxy in unwanted:  # a link that breaks under it changes the advisers
+        for proxy in unwanted:  # a broken link changes the proxies
             if proxy.link is not None and proxy.is_unwanted:
                 self._notify_withdrawn(proxy.link, [proxy.call_id])
 
     def current_slots(self):
-        """Return the slots that are left once nothing unwanted waits."""
+        """Withdraw unwanted calls and return the slots that are left."""
         self.withdraw_unwanted()
         return self.slots
 
     @property
     def slots(self):
-        """Return how many calls would be made at once, beside what waits already."""
+        """Return how many more calls could be sent now, besides those waiting."""
         now_ms = steady_ms()
         free = sum(self._is_free(name, now_ms) for name in self._proxies)
         free_for_long_calls = sum(
@@ -151,7 +151,7 @@
         self._dispatch()
 
     def on_reply(self, reply):
-        """Take another instance's answer; tell whether it is to a call from here."""
+        """Handle another instance's reply; return whether the call was made here."""
         proxy = self._proxy_by_call.pop(reply.call_id, None)
         if proxy is None or proxy.call_id != reply.call_id:
             return False
@@ -162,10 +162,10 @@
         return True
 
     def _dispatch(self):
-        """Send what waits to whoever is free.
+        """Send waiting calls to free proxies.
 
-        A send may break a link and come back to here. The outer call then looks again
-        at all that waits: it holds what it has put aside.
+        Sending may break a link and call this method again; the outer call then makes
+        another pass over all waiting calls.
         """
         self._needs_another_pass = True
         if self._dispatching:
@@ -211,13 +211,13 @@
         return None
 
     def _names_in_order(self):
-        """Return the instances in the order in which this owner begins with them."""
+        """Return all instances in the order in which this owner prefers them."""
         names = sorted(self._proxies)
         first = int(self._start_fraction * len(names))
         return names[first:] + names[:first]
 
     def _names_for_long_calls(self):
-        """Return the instances that take long calls, too."""
+        """Return the instances that also take long calls."""
         names = self._names_in_order()
         return names[: max(1, len(names) - self._reserve.size(len(names)))]
 
@@ -265,8 +265,7 @@
         if proxy.call_id == call_id and proxy.effect is not None:
             self._proxy_by_call.pop(call_id, None)
             proxy.paused_until_ms = steady_ms() + PAUSE_MS
-            # The end of a pause is an event of its own: where all that may take a call
-            # are paused, no answer comes that would have anybody look at what waits.
+            # If all suitable proxies are paused, no answer would trigger a dispatch.
             self._timers.at(proxy.paused_until_ms, self._dispatch)
             self._metrics.count("retries", "adviser_silent")
             self._finish(proxy, None, 0)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_proxy.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_proxy.py
@@ -1,4 +1,4 @@
-"""An instance that makes calls to the advice service for an owner."""
+"""An instance that calls the advice service on behalf of an owner."""
 
 from attrs import define
 
@@ -7,9 +7,10 @@
 
 @define(kw_only=True, eq=False)
 class AdviceProxy:
-    """Follow the call under way at an instance, if any; no link leads to the own one.
+    """Hold the call in flight at an instance, if any.
 
-    Of a call that `is_withdrawn` the instance was told that nobody wants it.
+    `link` is None for the local instance. `is_withdrawn` is true once the instance was
+    told that the call is no longer wanted.
     """
 
     name: str
@@ -22,10 +23,10 @@
 
     @property
     def is_unwanted(self):
-        """Tell whether a call is under way that nobody wants any more."""
+        """Return whether the call in flight is no longer wanted."""
         return self.effect is not None and not is_wanted(self.effect)
 
 
 def is_wanted(effect):
-    """Tell whether somebody waits for the answer to a call."""
+    """Return whether the job of a call still needs the answer."""
     return effect.step.job.is_live
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_call.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_call.py
@@ -1,4 +1,4 @@
-"""One call that is to store a batch."""
+"""One call to the store that appends a batch."""
 
 from attrs import frozen
 
@@ -7,10 +7,10 @@
 
 @frozen(kw_only=True)
 class AppendCall:
-    """Hold when a call was made.
+    """Hold when a call was sent, and the state of its batch at that time.
 
-    `follows` tells that all before its batch were known to be stored then, `repeats`
-    that the batch had a call before.
+    `follows` is true if all earlier batches were known to be stored, `repeats` if
+    another call for the batch had been sent before.
     """
 
     sent_ms: float
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pipeline.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pipeline.py
@@ -1,4 +1,4 @@
-"""Store a cell's batches, each once and in their order, some under way together."""
+"""Ordered, exactly-once appends of a cell's batches, several in flight at a time."""
 
 from collections import deque
 
@@ -13,25 +13,24 @@
 
 __all__ = ["AppendPipeline"]
 
-# An append that was turned away, or failed, is sent again after this long.
+# Delay before an append that failed or was rejected is sent again.
 RETRY_DELAY_MS = 60.0
 MAX_OPEN_CALLS = 4
-# An append usually takes 10 ms. Once one has been under way for this long, the store
-# counts as away: new work is refused rather than left in doubt. What is in doubt by
-# then waits on, and its caller is told as soon as the append is answered: told
-# "unknown" at once, callers would use up their tries before the store is back.
+# From then on new requests are refused. Appends in flight keep waiting, and their
+# callers are told the outcome: after an early "unknown" they would use up their retries
+# before the store is back.
 UNAVAILABLE_AFTER_MS = 1_000.0
-# An append that has been under way for 40 times the usual time says that the store does
-# not answer; an owner that stops keeps its cell then rather than lose what it heard.
+# An owner that stops keeps its cell while the store is unresponsive for this long:
+# otherwise run ends that are not stored would be lost.
 UNRESPONSIVE_AFTER_MS = 400.0
 
 
 class AppendPipeline:
-    """Number batches one after the other and send them; take the answers as they come.
+    """Assign sequence numbers to batches, send them and process the answers.
 
-    The store takes a number only after the one before it, so an answer that tells of
-    one tells of all before. What is done about a batch without a good answer is done
-    for the first alone; those after it wait for it.
+    The store accepts a sequence number only after the one before it, so an answer for
+    one confirms all earlier ones. Only the head of the queue is retried; later batches
+    wait for it.
     """
 
     def __init__(
@@ -55,12 +54,12 @@
 
     @property
     def is_busy(self):
-        """Tell whether an append is under way."""
+        """Return whether an append is in flight."""
         return bool(self._in_flight)
 
     @property
     def next_send_ms(self):
-        """Return from when on a batch may be sent; None: not before an answer."""
+        """Return when a batch may be sent, or None if only after an answer."""
         if self._in_flight and self._is_failing:
             return None
         calls = [
@@ -72,24 +71,24 @@
 
     @property
     def is_store_responding(self):
-        """Tell whether the store takes appends, as far as is known."""
+        """Return whether the store answers appends, as far as known here."""
         return not self._is_failing and self._head_wait_ms() < UNRESPONSIVE_AFTER_MS
 
     @property
     def is_store_unavailable(self):
-        """Tell whether the store has not taken an append for too long."""
+        """Return whether the store has failed to take an append for too long."""
         return self._is_failing or self._head_wait_ms() >= UNAVAILABLE_AFTER_MS
 
     def _head_wait_ms(self):
-        """Return for how long the first append has been the first."""
+        """Return for how long the head of the queue has been the head."""
         return steady_ms() - self._head_since_ms if self._in_flight else 0.0
 
     def reset_failure(self):
-        """Let the next request find out whether the store is back."""
+        """Let the next request find out whether the store is available."""
         self._is_failing = False
 
     def end(self):
-        """Stop: the cell is no longer ours."""
+        """Stop; the cell is no longer owned here."""
         self._ended = True
 
     def _event_logger(self, event, **fields):
@@ -98,13 +97,14 @@
     # Sending -----------------------------------------------------------------
 
     def send(self, batch, on_stored, on_not_stored):
-        """Store a batch and then call `on_stored(batch)`, after those before it.
+        """Store a batch, and then call `on_stored(batch)`, in the order of sending.
 
-        `on_not_stored(batch)` takes it back where the store has certainly done nothing
-        of it and all after it, the last first; the next batch then takes its number.
+        `on_not_stored(batch)` is called instead if the store has certainly stored
+        neither this batch nor any later one; the last batch is returned first, and the
+        sequence numbers are used again.
         """
         now_ms = steady_ms()
-        # An append without records would take no number.
+        # An append without records has no sequence number of its own.
         self._last_sequence += bool(batch.records)
         pending = InFlightAppend(
             batch=batch,
@@ -124,7 +124,7 @@
             self._deliver_stored()
 
     def _on_new_head(self, now_ms):
-        """Follow for how long the first append waits; log once that it is too long."""
+        """Start measuring how long the head of the queue waits."""
         self._head_since_ms = now_ms
         self._timers.cancel(self._unresponsive_timer)
         if self._in_flight:
@@ -140,7 +140,7 @@
         line = self._event_logger(
             "store_silent", records=records, appends=len(self._in_flight)
         )
-        line.info("an append is not answered")
+        line.info("the store has not answered an append in time")
 
     def _is_pending(self, pending):
         return not self._ended and pending in self._in_flight
@@ -175,7 +175,7 @@
         )
 
     def _hedge(self, pending):
-        """Send an append again that has no answer yet, unless one before it hasn't."""
+        """Send another call for an unanswered append, but only at the head."""
         if not self._is_pending(pending) or pending.open_calls == 0:
             return
         if not self._is_head(pending):
@@ -187,7 +187,7 @@
             self._send_call(pending)
 
     def _schedule_resend(self, pending):
-        """Send the first append again soon; the others follow once it is stored."""
+        """Send the head again after a delay; later batches follow once it is stored."""
         if self._is_head(pending) and not pending.retry_timer:
             pending.retry_timer = self._timers.after(
                 RETRY_DELAY_MS, lambda: self._resend(pending)
@@ -219,9 +219,10 @@
             self._on_refused(result)
 
     def _on_out_of_sequence(self, pending, result, call):
-        """Take it that all below the number that is wanted are stored.
+        """Treat all sequence numbers below the wanted one as stored.
 
-        One that follows what is known to be stored can't come too early.
+        A batch that was sent after all earlier ones were stored can't be too early, so
+        the cell has another owner then.
         """
         if call.follows and result.wanted_sequence <= pending.sequence:
             self._on_refused(result)
@@ -236,13 +237,13 @@
     def _on_rejected(self, pending, result):
         if not self._is_failing:
             line = self._event_logger("store_turns_away")
-            line.info("an append was not done: {}", result.error)
+            line.info("the store rejected an append: {}", result.error)
         self._is_failing = True
         pending.is_rejected = self._is_head(pending)
         self._return_or_resend(pending, "append_not_stored")
 
     def _return_or_resend(self, pending, reason):
-        """Give all back if that is certain; else repeat the first, if it is this."""
+        """Return all batches if certainly not stored, else send the head again."""
         self._metrics.count("retries", reason)
         if not self._return_if_not_stored() and pending.open_calls == 0:
             self._schedule_resend(pending)
@@ -254,19 +255,21 @@
             epoch=self._partition.epoch,
             sequence=self._stored_sequence,
         )
-        line.warning("{} {}", result.outcome, result.error)
+        line.warning(
+            "append refused, ownership lost: {} {}", result.outcome, result.error
+        )
         self._on_lost(str(result.outcome))
 
     # Outcomes ----------------------------------------------------------------
 
     def _on_stored(self, sequence):
-        """Take it that a number and all before it are stored."""
+        """Treat a sequence number and all before it as stored."""
         self._is_failing = False
         self._stored_sequence = max(self._stored_sequence, sequence)
         self._deliver_stored()
 
     def _deliver_stored(self):
-        """Tell of the batches that are stored, in order; then see to the others."""
+        """Report stored batches in order, then go on with the others."""
         if self._ended:
             return
         if not self._in_flight or self._in_flight[0].sequence > self._stored_sequence:
@@ -284,7 +287,7 @@
             self._deliver_stored()
 
     def _resume_sending(self):
-        """Send what came too early or failed, now that what it follows is stored."""
+        """Send batches that were early or failed, now that the head has changed."""
         for pending in list(self._in_flight):
             if pending.open_calls == 0 and pending.batch.records:
                 self._send_call(pending)
@@ -293,7 +296,7 @@
             self._hedge(self._in_flight[0])
 
     def _return_if_not_stored(self):
-        """Give all batches back, the last first, if the store has done none of them."""
+        """Return all batches, the last first, if certainly none was stored."""
         if not self._in_flight or not self._in_flight[0].is_rejected:
             return False
         if not all(pending.is_certainly_not_stored for pending in self._in_flight):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -1,4 +1,4 @@
-"""How long the store takes, and so how many appends of a cell may be under way."""
+"""Number of concurrent appends of a cell, adapted to the store's latency."""
 
 from loguru import logger
 
@@ -6,40 +6,41 @@
 
 __all__ = ["AppendWindow"]
 
-# The store knows the last five numbers of a writer. With a repeat of the first beside
-# three, a cell has no more calls open than repeats of a single append take.
+# The store remembers the last five sequence numbers of a writer. Together with a hedge
+# of the head this is within the limit of open calls.
 MAX_IN_FLIGHT = 3
-# A slow spell begins with this many, and goes by what a further one costs the others.
+# Target at the start of a slow period.
 INITIAL_IN_FLIGHT = 2.0
-# More is tried while fewer than these appends wait in the store for their turn, less
-# once more do.
+# Average number of appends queued in the store, below which the target rises and above
+# which it falls.
 LOW_QUEUEING = 0.15
 HIGH_QUEUEING = 0.35
 INCREASE_STEP = 0.1
 DECREASE_FACTOR = 0.8
-# Less gains nothing: for the rest of the spell one is under way at a time.
+# Below this target, overlapping gains nothing and ends for the slow period.
 MIN_OVERLAP = 1.25
-# The time of an append alone is the shortest seen; it is forgotten by this an answer.
+# The baseline is the shortest append time; this growth per answer lets it follow a
+# slower store.
 BASELINE_GROWTH = 1.003
-# Ten times the usual append is slow, three times is quick again.
+# Hysteresis between a slow and a fast store.
 SLOW_THRESHOLD_MS = 100.0
 FAST_THRESHOLD_MS = 30.0
 INITIAL_APPEND_MS = 12.0
-# An append without an answer is sent once more beside the first after this many times
-# the usual time, within these bounds, and then after twice as long each time. The store
-# does the same number only once, but takes its turn for each.
+# The head is hedged after this many times the usual append time, within the bounds
+# below, and then after twice the delay each time. The store deduplicates by sequence
+# number but spends its time on each call.
 HEDGE_FACTOR = 4.0
 MIN_HEDGE_DELAY_MS = 60.0
 MAX_HEDGE_DELAY_MS = 800.0
 
 
 class AppendWindow:
-    """Let appends overlap while the store is slow, evenly spread; else one at a time.
+    """Let appends overlap while the store is slow; otherwise send one at a time.
 
-    The store takes a partition's appends in turn, so overlapping gains what its answers
-    take beside that turn; beyond it they only wait there, for each other. Spread, they
-    seldom overtake each other on their connections, and records still go together.
-    Calls are priced, and a quick store is not worth more of them.
+    The store processes the appends of a partition one after the other, so overlap only
+    saves network latency; beyond that, appends queue in the store. Even spacing keeps
+    them from overtaking each other and lets records share an append. Calls are billed,
+    so a fast store is not worth more of them.
     """
 
     def __init__(self, *, cell, metrics):
@@ -60,16 +61,16 @@
 
     @property
     def patience_ms(self):
-        """Return how long to wait before an append is sent once more."""
+        """Return the delay before an unanswered append is hedged."""
         return self._pace.patience_ms
 
     @staticmethod
     def next_hedge_delay_ms(patience_ms):
-        """Return how long to wait before it is sent still once more."""
+        """Return the delay before the next hedge."""
         return min(MAX_HEDGE_DELAY_MS, 2 * patience_ms)
 
     def next_send_ms(self, in_flight):
-        """Return when one more batch may leave, or None: only after an answer."""
+        """Return when another batch may be sent, or None if only after an answer."""
         if in_flight == 0:
             return 0.0
         if not self._is_slow or in_flight >= self._target_in_flight:
@@ -81,7 +82,7 @@
         )
 
     def record_sent(self, now_ms, *, in_flight):
-        """Take note of a batch that leaves; count it, and log the first, if beside."""
+        """Count a batch that is sent, and log the first one that overlaps another."""
         self._last_sent_ms = now_ms
         self._metrics.count("appends", str(in_flight + 1))
         if not in_flight:
@@ -90,13 +91,14 @@
             line = self._event_logger(
                 "appends_overlap", alone_ms=round(self._baseline_ms)
             )
-            line.info("the store is slow: appends are sent beside others")
+            line.info("the store is slow: appends overlap")
         self._overlapping_count += 1
 
     def record_answer(self, took_ms, *, repeats):
-        """Follow the store's time; log once when it becomes slow or quick again.
+        """Update the append time; log when the store becomes slow or fast.
 
-        A call that `repeats` another may be answered for it, and so too soon.
+        A call that `repeats` another may be answered early, so its time is not used for
+        the target.
         """
         self._pace.answered(took_ms)
         was_slow = self._is_slow
@@ -114,14 +116,14 @@
             line = self._event_logger(
                 "appends_in_turn", beside_others=self._overlapping_count
             )
-            line.info("one append at a time again")
+            line.info("appends are sent one at a time again")
         self._overlapping_count = 0
         self._baseline_ms = 0.0
         self._queueing_ms = 0.0
         self._target_in_flight = 1.0
 
     def _adapt_target(self, took_ms):
-        """Follow how many gain time: what an append took above one alone, it waited."""
+        """Adapt the target to the time that appends spend queued in the store."""
         if not self._baseline_ms:
             self._baseline_ms = took_ms
             self._target_in_flight = INITIAL_IN_FLIGHT
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -1,4 +1,4 @@
-"""One cell while this instance owns it."""
+"""Owner of one cell on this instance."""
 
 import time
 
@@ -19,12 +19,12 @@
 
 __all__ = ["CellOwner"]
 
-# A cell loaded before the configuration and the workers were read looks again so often.
+# Delay between checks whether the configuration and the worker list were read.
 INPUTS_RETRY_DELAY_MS = 30.0
 
 
 class CellOwner:
-    """Take a cell over, then carry out what it decides, until it is lost."""
+    """Take over a cell and execute its effects until the ownership ends."""
 
     def __init__(self, *, cell, epoch, daemon):
         self.cell_index = cell
@@ -89,47 +89,47 @@
 
     @property
     def metrics(self):
-        """Return where counts and times go."""
+        """Return the metrics of this instance."""
         return self._daemon.metrics
 
     @property
     def is_serving(self):
-        """Tell whether requests can be decided here.
+        """Return whether requests can be handled here.
 
-        While the store can't be reached, no one else can take the cell over; its
-        owner goes on telling what is stored and refuses the rest at once.
+        While the store is unreachable no other instance can take the cell over, so the
+        owner keeps answering from stored state and refuses all other requests.
         """
         return self._is_active and self._ownership.is_possible()
 
     @property
     def has_unstored_records(self):
-        """Tell whether something waits to be stored, or is being stored."""
+        """Return whether records wait to be stored or are in flight."""
         if self._pipeline.is_busy:
             return True
         return self._is_active and not self.cell.journal.is_empty
 
     @property
     def is_store_responding(self):
-        """Tell whether appends are answered, as far as is known here."""
+        """Return whether the store answers appends, as far as known here."""
         return self._pipeline.is_store_responding
 
     @property
     def is_store_unavailable(self):
-        """Tell whether the store takes no appends, rather than takes long for them."""
+        """Return whether the store takes no appends, rather than being slow."""
         return self._pipeline.is_store_unavailable
 
     @property
     def _is_active(self):
-        """Tell whether the cell was taken over and not given up yet."""
+        """Return whether the cell was taken over and not ended yet."""
         return self.cell is not None and not self._ended
 
     def start(self):
-        """Begin the takeover."""
-        self._event_logger("takeover_begins").info("taking over")
+        """Start the takeover."""
+        self._event_logger("takeover_begins").info("taking over the cell")
         self._takeover.start()
 
     def end(self, reason):
-        """Give the cell up."""
+        """End the ownership."""
         if self._ended:
             return
         self._ended = True
@@ -140,20 +140,20 @@
             self._loop.end()
             self._request_handler.reject_unsent()
         self._daemon.metrics.count("ownership", "lost")
-        self._event_logger("ownership_lost").info("{}", reason)
+        self._event_logger("ownership_lost").info("ownership lost: {}", reason)
 
     def drop_ownership(self, reason):
-        """Give the cell up, since it is certainly another's."""
+        """End the ownership, since another instance owns the cell."""
         self.end(reason)
         self._daemon.owned_cells.on_ownership_lost(self)
 
     def _event_logger(self, event):
         return logger.bind(event=event, cell=self.cell_index, epoch=self.epoch)
 
-    # What workers may be told ------------------------------------------------
+    # Permissions -------------------------------------------------------------
 
     def may_renew_leases(self):
-        """Tell whether leases may be renewed and states be told."""
+        """Return whether leases may be renewed and runs stopped."""
         if self._ended:
             return False
         if self._ownership.is_certain():
@@ -161,11 +161,11 @@
         return self._ownership.is_possible() and self.cell.quorum.is_held(steady_ms())
 
     def may_start_runs(self):
-        """Tell whether work may be started."""
+        """Return whether runs may be started."""
         return not self._ended and self._ownership.is_certain()
 
     def may_poll(self):
-        """Tell whether workers may be asked; that alone keeps nothing alive."""
+        """Return whether workers may be polled; a poll alone renews no lease."""
         return not self._ended
 
     # Taking over -------------------------------------------------------------
@@ -185,10 +185,10 @@
             self._loop.run_cycle()
 
     def _on_takeover_failed(self):
-        """Let another instance take the cell, rather than hold it unserved for ever."""
+        """Let another instance take over a cell that can't be served here."""
         self._daemon.metrics.count("ownership", "takeover_failed")
         line = self._event_logger("takeover_failed").opt(exception=True)
-        line.error("the cell can't be served here")
+        line.error("takeover failed: the cell can't be served here")
         self.drop_ownership("its takeover failed")
 
     def _serve(self, records):
@@ -244,7 +244,7 @@
     # Inputs ------------------------------------------------------------------
 
     def request(self, kind, queue, job_id, data, respond, **options):
-        """Decide a caller's request; `respond` takes the reply."""
+        """Handle a caller's request; `respond` takes the reply."""
         if not self.is_serving:
             respond(fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER))
             return
@@ -252,24 +252,24 @@
         self.apply_effects()
 
     def on_worker_list(self):
-        """Take the platform's list of workers."""
+        """Apply an update of the platform's worker list."""
         if self._is_active:
             entries = self._daemon.worker_list.entries.values()
             self.cell.registry.update(entries, now_ms=steady_ms())
             self.apply_effects()
 
     def on_configuration(self, configuration):
-        """Take a newer configuration."""
+        """Apply a new configuration."""
         if self.cell is not None:
             self.cell.on_configuration(configuration)
 
     def on_links_changed(self):
-        """Take the links to other instances that are open now."""
+        """Apply a change in the open links to other instances."""
         if self._is_active:
             self._advice_dispatcher.update(self._daemon.links.incoming)
 
     def on_advice_reply(self, reply):
-        """Take another instance's answer; tell whether this cell had asked."""
+        """Handle another instance's reply; return whether this cell made the call."""
         return self._advice_dispatcher.on_reply(reply)
 
     def _on_advice(self, step, worker_ids, tickets, valid_ms):
@@ -288,24 +288,24 @@
         self._daemon.learned_speeds.announce(self.cell_index, self.epoch, speeds)
 
     def announce_ends(self):
-        """Tell those who may own the cell next of all ends that are not stored."""
+        """Announce all run ends that are not stored to possible next owners."""
         if self._is_active:
             self.cell.unstored_ends.announce(steady_ms())
             self.apply_effects()
 
     def take_heard_ends(self, ends):
-        """Take the ends that an owner before this one has heard."""
+        """Apply run ends that a previous owner has received."""
         if self._is_active:
             self.cell.inherited_ends.apply(ends, now_ms=steady_ms())
             self.apply_effects()
 
     def take_parts(self, message):
-        """Take what another cell's owner says of parts of accounts' limits."""
+        """Apply a message of another cell's owner about parts of account limits."""
         if self._is_active:
             self.cell.on_parts(message, now_ms=steady_ms())
             self.apply_effects()
 
     def apply_effects(self):
-        """Do what an event has led to, once the cell was taken over."""
+        """Execute pending effects, if the cell was taken over, and schedule a cycle."""
         if self._loop is not None:
             self._loop.apply_effects()
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_partition.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_partition.py
@@ -1,4 +1,4 @@
-"""The partition of the store that a cell's records are in."""
+"""The partition of the store that holds a cell's records."""
 
 from ..membership import CELLS_TOPIC
 
@@ -8,8 +8,8 @@
 class CellPartition:
     """Append to and read a cell's partition under one epoch.
 
-    All owners of a cell write under one writer's name, so that the store refuses the
-    appends of all but the latest epoch.
+    All owners of a cell use the same writer name, so the store refuses appends of all
+    but the latest epoch.
     """
 
     def __init__(self, *, store, cell, partition, epoch):
@@ -19,7 +19,7 @@
         self._partition = partition
 
     def append(self, *, records, sequence, on_result, repeats=False):
-        """Append records; `repeats` tells that an earlier call may have done it."""
+        """Append records; `repeats` is true if an earlier call may have stored them."""
         self._store.append(
             topic=CELLS_TOPIC,
             partition=self._partition,
@@ -32,7 +32,7 @@
         )
 
     def newest(self, *, after, on_result):
-        """Read a page of the newest record of each key."""
+        """Read one page of the newest record of each key."""
         self._store.newest(
             topic=CELLS_TOPIC,
             partition=self._partition,
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
@@ -1,4 +1,4 @@
-"""Orders to workers and looks at them, each checked right before it leaves."""
+"""Commands to workers and polls, each checked right before it is sent."""
 
 from functools import singledispatchmethod
 
@@ -10,7 +10,7 @@
 
 
 class CommandSender:
-    """Send what a cell orders, and hand the answers back to it."""
+    """Send a cell's commands and polls to workers, and return the answers to it."""
 
     def __init__(self, *, owner, client):
         self._owner = owner
@@ -22,8 +22,8 @@
 
     @singledispatchmethod
     def send(self, effect):
-        """Send an order or a look."""
-        raise TypeError(f"nothing sends {type(effect).__name__}")
+        """Send a command or a poll."""
+        raise TypeError(f"no handler for command {type(effect).__name__}")
 
     @send.register
     def _start(self, effect: fx.StartRun):
@@ -51,14 +51,15 @@
         self._owner.apply_effects()
 
     def _still_owned(self, refusal, worker):
-        """Tell whether the cell is still ours after a worker's answer.
+        """Return whether the cell is still owned here after a worker's answer.
 
-        An order to a life that is over meets the fence that the next one got from us.
+        A command to an ended incarnation may meet the fence that this owner has set for
+        the next one.
         """
         if not self._owner.may_poll():
             return False
         if refusal is Refusal.FENCED and not worker.is_over:
-            self._owner.drop_ownership("a worker has seen a newer owner")
+            self._owner.drop_ownership("a worker has a fence of a newer owner")
             return False
         return True
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
@@ -1,4 +1,4 @@
-"""Carrying out what a cell decides."""
+"""Execution of the effects of a cell's decisions."""
 
 from functools import singledispatchmethod
 
@@ -14,7 +14,7 @@
 
 
 class EffectExecutor:
-    """Answer, log, count, ask and order as a cell's effects say."""
+    """Send replies, calls and commands, and write logs and metrics, for a cell."""
 
     def __init__(
         self,
@@ -40,17 +40,19 @@
         self._send_parts = send_parts
 
     def execute(self, effects):
-        """Carry effects out; one that fails holds up none of the others."""
+        """Execute effects; a failed one does not affect the others."""
         for effect in effects:
             try:
                 self._execute(effect)
             except Exception:
                 line = logger.opt(exception=True).bind(event="effect_failed")
-                line.bind(cell=self._cell_index).error("{}", type(effect).__name__)
+                line.bind(cell=self._cell_index).error(
+                    "effect failed: {}", type(effect).__name__
+                )
 
     @singledispatchmethod
     def _execute(self, effect):
-        raise TypeError(f"nothing carries out {type(effect).__name__}")
+        raise TypeError(f"no handler for effect {type(effect).__name__}")
 
     @_execute.register
     def _reply(self, effect: fx.Reply):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/in_flight_append.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/in_flight_append.py
@@ -1,4 +1,4 @@
-"""One batch on its way to the store."""
+"""A batch that is being appended to the store."""
 
 from attrs import define
 
@@ -7,11 +7,11 @@
 
 @define(kw_only=True, eq=False)
 class InFlightAppend:
-    """Follow a batch and the calls that were made for it.
+    """Hold a batch and the state of its calls.
 
-    `is_outcome_unknown` tells that a call of it may yet be carried out, `is_overdue` that it
-    would have been repeated already, had nothing been under way before it. One without
-    records makes no call; it bears the number of the one before it.
+    `is_outcome_unknown` is true if the store may still carry out a call, `is_overdue`
+    if a hedge is due once the batch is the head of the queue. A batch without records
+    makes no call and has the sequence number of the one before it.
     """
 
     batch: object
@@ -29,5 +29,5 @@
 
     @property
     def is_certainly_not_stored(self):
-        """Tell whether it is certain that no call has done it or ever will."""
+        """Return whether no call has stored the batch or ever will."""
         return not self.is_outcome_unknown and self.open_calls == 0
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/ownership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/ownership.py
@@ -1,4 +1,4 @@
-"""How certain it is that a cell is still owned here."""
+"""Certainty of a cell's ownership."""
 
 from thymefork_cells.workers.quorum import OUTAGE_GRACE_MS
 
@@ -6,7 +6,7 @@
 
 
 class Ownership:
-    """Judge one ownership of a cell by this instance's membership of the group."""
+    """Derive the state of one ownership from the membership of the group."""
 
     def __init__(self, *, membership, partition, epoch):
         self._membership = membership
@@ -14,15 +14,15 @@
         self._epoch = epoch
 
     def is_certain(self):
-        """Tell whether the cell is ours by what the store has granted."""
+        """Return whether the membership granted by the store covers the cell now."""
         return self._membership.holds(self._partition, self._epoch)
 
     def is_renewed(self):
-        """Tell whether the membership stands and is still being renewed."""
+        """Return whether the ownership is certain and the store is reachable."""
         return self.is_certain() and not self._membership.store_lost
 
     def is_possible(self):
-        """Tell whether the cell may still be ours though the store can't say so."""
+        """Return whether the cell may still be owned here in a store outage."""
         return self._membership.holds(
             self._partition, self._epoch, grace_ms=OUTAGE_GRACE_MS
         )
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
@@ -1,4 +1,4 @@
-"""Callers' requests at the owner of their cell."""
+"""Handling of callers' requests by the owner of their cell."""
 
 from loguru import logger
 
@@ -8,15 +8,15 @@
 
 __all__ = ["RequestHandler"]
 
-# The word that a job was not taken has to reach who asked before that gives up: a round
-# trip between distant halls, and a turn.
+# A refusal has to reach the caller before its timeout: a round trip between distant
+# halls and one cycle.
 REPLY_MARGIN_MS = 100.0
 
 
 class RequestHandler:
-    """Have requests decided; refuse at once what the store could not take.
+    """Pass requests to the cell, and refuse those that need an unavailable store.
 
-    `apply_effects()` has effects carried out.
+    `apply_effects()` executes the resulting effects.
     """
 
     def __init__(self, *, cell, ownership, pump, metrics, timers, apply_effects):
@@ -31,9 +31,9 @@
     def handle(
         self, kind, queue, job_id, data, respond, *, account_name="", patience_ms=0
     ):
-        """Decide a request; `respond` takes the reply once it may be told.
+        """Handle a request; `respond` takes the reply once it may be sent.
 
-        Who asked waits for `patience_ms`, 0 where that is not known.
+        `patience_ms` is the caller's timeout, or 0 if it is not known.
         """
         intake, now_ms = self._intake, steady_ms()
         if self._is_store_unavailable() and not self._needs_no_append(kind, job_id):
@@ -51,7 +51,7 @@
             intake.cancel(respond, job_id, account_name=account_name, now_ms=now_ms)
 
     def _schedule_expiry(self, job_id, patience_ms):
-        """Have a job given up that no append has held by the end of a wait."""
+        """Abandon a job that no append contains by the end of the caller's timeout."""
         if patience_ms > REPLY_MARGIN_MS and self._journal.is_unsent(job_id):
             delay_ms = patience_ms - REPLY_MARGIN_MS
             self._timers.after(delay_ms, lambda: self._expire_if_unsent(job_id))
@@ -62,14 +62,16 @@
             self._apply_effects()
 
     def reject_unsent(self):
-        """Tell who asked about new jobs that they were not taken, as the cell is lost.
+        """Refuse the new jobs that no append contains, since the ownership has ended.
 
-        No append has held these jobs, and none of this ownership will.
+        Their callers may send them to the next owner.
         """
         for reply in self._journal.take_replies_of_unsent():
             self._metrics.count("refusals", "given_back")
             line = logger.bind(event="job_withdrawn", job=reply.job_id)
-            line.bind(reason="the cell was lost before").info("nothing was stored")
+            line.bind(reason="the cell was lost before").info(
+                "job not stored: ownership lost"
+            )
             respond = reply.request_id
             respond(fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER))
 
@@ -77,7 +79,7 @@
         return self._pump.is_store_unavailable or not self._ownership.is_certain()
 
     def _needs_no_append(self, kind, job_id):
-        """Tell whether a request is about what is stored, or on its way, already."""
+        """Return whether a request concerns only what is stored or in flight."""
         if kind == "read":
             return self._intake.is_stored(job_id)
         if kind == "submit":
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/scheduling_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/scheduling_loop.py
@@ -1,4 +1,4 @@
-"""When a cell decides, and when what it decided is stored."""
+"""Timing of a cell's scheduling cycles and appends."""
 
 import math
 
@@ -8,28 +8,25 @@
 
 __all__ = ["SchedulingLoop"]
 
-# After an append that the store turned away, the next one follows this soon.
+# Delay between an append that the store rejected and the next one.
 STORE_RETRY_DELAY_MS = 60.0
-# Events that come within this time are decided on together: planning looks over all
-# live steps and workers, and an order takes 2 to 4 ms to be answered anyway.
+# Events within this time share a cycle, since a cycle considers all steps and workers.
 CYCLE_DELAY_MS = 4.0
-# After a turn that failed, the next one follows this soon: as often as a cell looks its
-# runs over anyway.
+# Delay before the next cycle after a failed one.
 FAILED_CYCLE_RETRY_DELAY_MS = 100.0
-# Records that nobody waits for are held this long for others to go along: an append is
-# priced by the call. Meanwhile a worker whose ends are not stored yet is not looked at,
-# so that a further end there is heard up to this much later; a short job has 500 ms to
-# spare.
+# Records that no caller waits for are delayed by this time, so that others share the
+# append: the store bills by call. A worker with run ends that are not stored is not
+# polled meanwhile.
 LINGER_MS = 30.0
 
 
 class SchedulingLoop:
-    """Let a cell take its turns; perform its effects and store its records.
+    """Run a cell's cycles, execute its effects and store its records.
 
-    Performing an effect may lose the cell and so end the loop. `worker_list_as_of_ms()` is
-    since when at the latest the list of workers may have changed unseen;
-    `advice_slots()` is how many calls for advice may be made now; `load_monitor` takes
-    how late and long turns are, and tells what to put off.
+    Executing an effect may end the ownership and thereby the loop.
+    `worker_list_as_of_ms()` is the time for which the worker list is known to be up to
+    date; `advice_slots()` is how many advice calls may be made now; `load_monitor`
+    records lag and duration of cycles and selects the work to shed.
     """
 
     def __init__(
@@ -59,15 +56,15 @@
         self._linger_since_ms = 0.0
 
     def end(self):
-        """Take no more turns: the cell is no longer ours."""
+        """Stop; the cell is no longer owned here."""
         self._ended = True
         self._timers.cancel(self._cycle_timer)
 
     def apply_effects(self):
-        """Do what an event has led to; the next turn decides what follows from it.
+        """Execute pending effects and schedule a cycle soon.
 
-        Records wait for that turn too, so that the ends of a step and the starts of
-        the next one go into the same append.
+        Records wait for that cycle, so that the ends of a step and the starts of the
+        next one share an append.
         """
         if self._ended:
             return
@@ -75,10 +72,10 @@
         self._schedule(min(self._cycle_due_ms, steady_ms() + CYCLE_DELAY_MS))
 
     def run_cycle(self):
-        """Let the cell decide, store what it has to and do what it wants.
+        """Let the cell decide, execute its effects and store its records.
 
-        Looks, leases and stops depend on turns, so one that fails is followed by
-        another all the same; its error goes on to the timers, which log it.
+        Polls, leases and stops depend on cycles, so a failed one is followed by
+        another; the exception propagates to the timers, which log it.
         """
         if self._ended:
             return
@@ -122,7 +119,7 @@
     # Storing -----------------------------------------------------------------
 
     def _may_linger(self, now_ms):
-        """Tell whether the records that wait may wait for others."""
+        """Return whether the pending records may wait for others."""
         journal = self._cell.journal
         if journal.is_empty or journal.is_urgent or self._pump.is_store_unavailable:
             self._linger_since_ms = 0.0
@@ -131,7 +128,7 @@
         return now_ms - self._linger_since_ms < LINGER_MS
 
     def _store(self, now_ms):
-        """Send what waits if the store takes it now; return when to try next."""
+        """Send pending records if the pipeline allows it; return when to try next."""
         if self._cell.journal.is_empty or self._ended or self._store_retry_timer:
             return math.inf
         next_send_ms = self._pump.next_send_ms
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/short_call_reserve.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/short_call_reserve.py
@@ -1,25 +1,22 @@
-"""How many instances are kept from long calls to the advice service."""
+"""Number of instances reserved for short calls to the advice service."""
 
 from math import ceil
 
 __all__ = ["ShortCallReserve"]
 
-# At most this share of the instances is kept for short calls, and until it was seen how
-# many there are.
+# Largest fraction of the instances that is reserved; used until the number of short
+# calls is known.
 MAX_FRACTION = 0.3
-# So many times as many as were under way at once are kept, and one more, so that a
-# group of short calls finds some at once.
+# Reserves this many times the recent peak, plus one, for bursts.
 PEAK_FACTOR = 2
-# What was under way at once counts for this long.
+# A peak is replaced after this time.
 PEAK_RETENTION_MS = 5_000.0
 
 
 class ShortCallReserve:
-    """Keep as many instances for short calls as those have needed of late.
+    """Reserve as many instances for short calls as these needed recently.
 
-    Where long calls come without a pause, a fixed share leaves instances idle that
-    they could use, and steps wait for their tickets for seconds: of 29 instances nine
-    were kept, of which fewer than two had a short call under way (an owner's log).
+    A fixed fraction would leave instances idle while long calls wait.
     """
 
     def __init__(self, *, now_ms):
@@ -27,14 +24,14 @@
         self._peak_seen_ms = now_ms
 
     def record(self, in_flight, now_ms):
-        """Note how many short calls are under way."""
+        """Record the number of short calls in flight."""
         is_stale = now_ms - self._peak_seen_ms > PEAK_RETENTION_MS
         is_peak = self._peak_in_flight is not None and in_flight >= self._peak_in_flight
         if is_stale or is_peak:
             self._peak_in_flight, self._peak_seen_ms = in_flight, now_ms
 
     def size(self, instances):
-        """Return how many of some instances take short calls only."""
+        """Return how many of the instances take only short calls."""
         max_size = max(1, ceil(MAX_FRACTION * instances))
         if self._peak_in_flight is None:
             return max_size
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/takeover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/takeover.py
@@ -1,4 +1,4 @@
-"""Fencing a cell's partition and reading its records."""
+"""Takeover of a cell: fencing its partition and reading its records."""
 
 import random
 
@@ -10,16 +10,17 @@
 __all__ = ["Takeover"]
 
 RETRY_DELAY_MS = 80.0
-# The key of the record that names a cell's owner and epoch.
+# Key of the record that holds the cell's owner and epoch.
 OWNER_KEY = "o"
 MAX_FIRST_SEQUENCE = 2**30
 
 
 class Takeover:
-    """Set the epoch as the writer's fence, then read the newest record of each key.
+    """Fence the partition under the new epoch, then read the newest record per key.
 
-    The fence is a record under a number drawn at random. A new epoch may begin with
-    any number; were the epoch another owner's already, the number would be refused.
+    The fence is a record with a random sequence number. A new epoch may start at any
+    number, while a number out of sequence is refused if another owner already uses the
+    epoch.
     """
 
     def __init__(self, *, partition, timers, owner, on_loaded, on_fenced):
@@ -33,7 +34,7 @@
         self._ended = False
 
     def start(self):
-        """Set the fence."""
+        """Append the fence."""
         if self._ended:
             return
         epoch = self._partition.epoch
@@ -44,7 +45,7 @@
         )
 
     def abandon(self):
-        """Stop: the cell is no longer ours."""
+        """Stop; the cell is no longer owned here."""
         self._ended = True
 
     def _on_fence(self, result):
@@ -57,7 +58,7 @@
             self._on_fenced()
         else:
             line = logger.bind(event="fence_not_set", cell=self._partition.cell)
-            line.info("{} {}", result.outcome, result.error)
+            line.info("fence not set, retrying: {} {}", result.outcome, result.error)
             self._timers.after(RETRY_DELAY_MS, self.start)
 
     def _read(self, after):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_load_monitor.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_load_monitor.py
@@ -1,4 +1,4 @@
-"""This instance's load as an owner: sampled, told, and acted on."""
+"""Sampling of this instance's load as an owner."""
 
 from loguru import logger
 
@@ -12,7 +12,7 @@
 
 
 class OwnerLoadMonitor:
-    """Sample the load while cells are owned; say when work begins to be put off."""
+    """Sample the load while cells are owned, and log changes in load shedding."""
 
     def __init__(self, *, daemon, link_mbps):
         self._daemon = daemon
@@ -37,7 +37,7 @@
         self._log_shed_kinds()
 
     def _join_ms(self):
-        """Return how long a join takes where nothing but the store is slow."""
+        """Return the duration of a join, as a reference for the store's speed."""
         others_ms = self._daemon.peers.member_statuses.join_ms()
         own_ms = self._daemon.membership.round_trip_ms
         return own_ms if others_ms is None else min(own_ms, others_ms)
@@ -56,4 +56,4 @@
             append=round(pressure.append, 2),
             queued=round(pressure.queued, 2),
         )
-        line.info("puts off: {}", [kind.name.lower() for kind in kinds])
+        line.info("sheds: {}", [kind.name.lower() for kind in kinds])
