--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -130,7 +130,7 @@
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
     desk = daemon.peers = PeerDispatcher(daemon=daemon)
     owner = daemon.directory.owner_of(0)
     beat_of(desk, owner, leaving=True, store_lost=True)
@@ -235,7 +235,7 @@
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
     daemon.learned_speeds = SimpleNamespace(
         take_unannounced=lambda: None, of_owned_cells=lambda: ["all"]
     )
@@ -266,7 +266,7 @@
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
     desk = PeerDispatcher(daemon=daemon)
     link = FakeLink(daemon.directory.owner_of(0))
 
