--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_scheduling_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_scheduling_loop.py
@@ -14,7 +14,7 @@
 )
 
 CLOCK_MODULES = (scheduling_loop,)
-FAR_MS = 1_000.0
+FAR_FUTURE_MS = 1_000.0
 
 
 class FakeJournal:
@@ -42,7 +42,7 @@
 
     def run_cycle(self, now_ms):
         self.turns_ms.append(now_ms)
-        return now_ms + FAR_MS
+        return now_ms + FAR_FUTURE_MS
 
     def take_effects(self):
         effects, self.effects = self.effects, []
@@ -55,7 +55,7 @@
         self.not_stored.append(batch)
 
 
-class FakePump:
+class FakePipeline:
     next_send_ms = 0.0
     is_store_unavailable = False
 
@@ -72,19 +72,23 @@
 
 @pytest.fixture
 def parts(timers):
-    cell, pump, performed = FakeCell(), FakePump(), []
+    cell, pipeline, performed = FakeCell(), FakePipeline(), []
     ownership = SimpleNamespace(is_renewed=lambda: True)
     loop = SchedulingLoop(
         cell=cell,
         ownership=ownership,
-        pump=pump,
+        pipeline=pipeline,
         executor=SimpleNamespace(execute=performed.extend),
         timers=timers,
         worker_list_as_of_ms=lambda: 0.0,
     )
     loop.run_cycle()
     return SimpleNamespace(
-        loop=loop, cell=cell, pump=pump, performed=performed, ownership=ownership
+        loop=loop,
+        cell=cell,
+        pipeline=pipeline,
+        performed=performed,
+        ownership=ownership,
     )
 
 
@@ -103,7 +107,7 @@
 
 
 def test_without_events_the_next_turn_comes_when_the_cell_wants_it(parts, timers):
-    timers.run(FAR_MS - 1)
+    timers.run(FAR_FUTURE_MS - 1)
     assert len(parts.cell.turns_ms) == 1
     timers.run(1)
     assert len(parts.cell.turns_ms) == 2
@@ -118,7 +122,7 @@
     parts.loop.apply_effects()
     with pytest.raises(ArithmeticError):
         timers.run(CYCLE_DELAY_MS)
-    timers.run(FAR_MS)
+    timers.run(FAR_FUTURE_MS)
     assert len(parts.cell.turns_ms) >= 2
 
 
@@ -126,37 +130,37 @@
     parts.cell.journal.waiting = ["an end"]
     parts.loop.apply_effects()
     timers.run(CYCLE_DELAY_MS + LINGER_MS - 1)
-    assert not parts.pump.sent
+    assert not parts.pipeline.sent
     timers.run(1)
-    assert len(parts.pump.sent) == 1
+    assert len(parts.pipeline.sent) == 1
 
 
 @pytest.mark.parametrize("reason", ["is_urgent", "store_is_away"])
 def test_other_records_are_stored_at_the_next_turn(parts, timers, reason):
     parts.cell.journal.waiting = ["a job"]
     parts.cell.journal.is_urgent = reason == "is_urgent"
-    parts.pump.is_store_unavailable = reason == "store_is_away"
+    parts.pipeline.is_store_unavailable = reason == "store_is_away"
     parts.loop.apply_effects()
     timers.run(CYCLE_DELAY_MS)
-    assert len(parts.pump.sent) == 1
+    assert len(parts.pipeline.sent) == 1
 
 
 def test_one_append_at_a_time(parts, timers):
     parts.cell.journal.waiting, parts.cell.journal.is_urgent = ["a job"], True
-    parts.pump.next_send_ms = None
+    parts.pipeline.next_send_ms = None
     parts.loop.apply_effects()
     timers.run(CYCLE_DELAY_MS)
-    assert not parts.pump.sent
+    assert not parts.pipeline.sent
 
 
 def test_a_batch_leaves_beside_another_as_soon_as_the_pump_takes_it(parts, timers):
-    parts.pump.next_send_ms = timers.now_ms + 80.0
+    parts.pipeline.next_send_ms = timers.now_ms + 80.0
     parts.cell.journal.waiting, parts.cell.journal.is_urgent = ["a job"], True
     parts.loop.apply_effects()
     timers.run(79)
-    assert not parts.pump.sent
+    assert not parts.pipeline.sent
     timers.run(1)
-    assert len(parts.pump.sent) == 1
+    assert len(parts.pipeline.sent) == 1
 
 
 def test_batches_that_come_back_together_are_followed_by_one_after_a_while(
@@ -166,22 +170,22 @@
         parts.cell.journal.waiting, parts.cell.journal.is_urgent = [effect], True
         parts.loop.apply_effects()
         timers.run(CYCLE_DELAY_MS)
-    assert len(parts.pump.sent) == 2
-    for batch, _, on_not_stored in reversed(parts.pump.sent):
+    assert len(parts.pipeline.sent) == 2
+    for batch, _, on_not_stored in reversed(parts.pipeline.sent):
         on_not_stored(batch)
     assert [batch.effects for batch in parts.cell.not_stored] == [["second"], ["first"]]
     parts.cell.journal.waiting = ["both"]
     timers.run(STORE_RETRY_DELAY_MS - 1)
-    assert len(parts.pump.sent) == 2
+    assert len(parts.pipeline.sent) == 2
     timers.run(1 + CYCLE_DELAY_MS)
-    assert len(parts.pump.sent) == 3
+    assert len(parts.pipeline.sent) == 3
 
 
 def test_what_follows_an_append_happens_once_it_is_stored(parts, timers):
     parts.cell.journal.waiting, parts.cell.journal.is_urgent = ["a reply"], True
     parts.loop.apply_effects()
     timers.run(CYCLE_DELAY_MS)
-    batch, on_stored, _ = parts.pump.sent[0]
+    batch, on_stored, _ = parts.pipeline.sent[0]
     assert not parts.performed
     on_stored(batch)
     assert parts.cell.stored == [batch] and parts.performed == ["a reply"]
@@ -191,25 +195,25 @@
     parts.cell.journal.waiting, parts.cell.journal.is_urgent = ["a job"], True
     parts.loop.apply_effects()
     timers.run(CYCLE_DELAY_MS)
-    batch, _, on_not_stored = parts.pump.sent[0]
+    batch, _, on_not_stored = parts.pipeline.sent[0]
     on_not_stored(batch)
     assert parts.cell.not_stored == [batch]
     parts.cell.journal.waiting = ["another job"]
     parts.loop.apply_effects()
     timers.run(STORE_RETRY_DELAY_MS - 1)
-    assert len(parts.pump.sent) == 1
+    assert len(parts.pipeline.sent) == 1
     timers.run(1 + CYCLE_DELAY_MS)
-    assert len(parts.pump.sent) == 2 and not parts.pump.cleared
+    assert len(parts.pipeline.sent) == 2 and not parts.pipeline.cleared
 
 
 def test_the_next_request_finds_out_whether_the_store_is_back(parts, timers):
     parts.cell.journal.waiting, parts.cell.journal.is_urgent = ["a job"], True
     parts.loop.apply_effects()
     timers.run(CYCLE_DELAY_MS)
-    batch, _, on_not_stored = parts.pump.sent[0]
+    batch, _, on_not_stored = parts.pipeline.sent[0]
     on_not_stored(batch)
     timers.run(STORE_RETRY_DELAY_MS)
-    assert parts.pump.cleared == 1
+    assert parts.pipeline.cleared == 1
 
 
 @pytest.mark.parametrize("renewed", [True, False])
@@ -225,9 +229,9 @@
     parts.loop.end()
     parts.loop.apply_effects()
     parts.loop.run_cycle()
-    timers.run(2 * FAR_MS)
+    timers.run(2 * FAR_FUTURE_MS)
     assert len(parts.cell.turns_ms) == 1
-    assert not parts.pump.sent and not parts.performed
+    assert not parts.pipeline.sent and not parts.performed
 
 
 def test_late_and_long_turns_are_told_and_what_waits_is_put_off(timers):
@@ -242,7 +246,7 @@
     loop = SchedulingLoop(
         cell=cell,
         ownership=SimpleNamespace(is_renewed=lambda: True),
-        pump=FakePump(),
+        pipeline=FakePipeline(),
         executor=SimpleNamespace(execute=lambda effects: None),
         timers=timers,
         worker_list_as_of_ms=lambda: 0.0,
@@ -257,6 +261,6 @@
         return decide(now_ms)
 
     cell.run_cycle = decide_for_long
-    timers.now_ms += FAR_MS + late_ms
+    timers.now_ms += FAR_FUTURE_MS + late_ms
     timers.run(0)
     assert seen[-1] == {"lag_ms": late_ms, "busy_ms": 50.0}
