--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
@@ -272,7 +272,7 @@
     )  # of 20, five are kept and one is under way
 
 
-def leave(call):
+def end_job(call):
     """Let a call's job end."""
     call.step.job.is_live = False
 
@@ -284,7 +284,7 @@
         dispatcher.ask(call)
     assert dispatcher.slots.any_call == -4  # one is under way, five wait for long calls
     for call in calls[1:]:
-        leave(call)
+        end_job(call)
     slots = dispatcher.current_slots()
     assert (slots.any_call, slots.advice_call) == (1, 0)
 
@@ -300,7 +300,7 @@
     dispatcher.ask(stays)
     dispatcher.current_slots()
     assert not told
-    leave(call)
+    end_job(call)
     for _ in range(3):
         dispatcher.current_slots()
     assert told == [(link, [link.sent[0].call_id])]
@@ -317,7 +317,7 @@
     dispatcher.ask(call)
     (wanted,) = client.wanted
     assert wanted()
-    leave(call)
+    end_job(call)
     assert not wanted()
 
 
@@ -334,6 +334,6 @@
     for call in calls:
         dispatcher.ask(call)
     for call in calls:
-        leave(call)
+        end_job(call)
     assert dispatcher.current_slots().any_call == 0  # the own one is busy still
     assert len(told) == 1
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
@@ -278,7 +278,7 @@
         if seed % 4 == 0:
             store.fenced_from_ms = timers.now_ms + self._rng.uniform(500.0, 5_000.0)
         self.writer = Writer(timers, store, lambda: self._may_write)
-        self.told, self.refused, self.waiting = [], [], []
+        self.confirmed, self.refused, self.waiting = [], [], []
         self._next_key = 0
         self._retry_ms = 0.0
         self.max_sent = 0
@@ -318,8 +318,8 @@
 
     def _on_stored(self, batch):
         stored = {key for key, _ in self.writer.store.stored}
-        self.told += [key for key, _ in batch.records]
-        assert stored >= set(self.told)
+        self.confirmed += [key for key, _ in batch.records]
+        assert stored >= set(self.confirmed)
 
     def _on_returned(self, batch):
         """Refuse every other one, let the rest wait again before all others."""
@@ -335,11 +335,11 @@
     timers.run(FAULTS_UNTIL_MS + RECOVERY_MS)
     stored = [key for key, _ in case.writer.store.stored]
     assert stored == sorted(set(stored), key=int)
-    assert case.told == stored[: len(case.told)]
+    assert case.confirmed == stored[: len(case.confirmed)]
     assert not set(case.refused) & set(stored)
     if case.writer.lost:
         assert seed % 4 == 0 and case.writer.lost == ["fenced"]
         return
     assert not case.waiting and not case.writer.pipeline.is_busy
-    assert case.told == stored
+    assert case.confirmed == stored
     assert len(stored) + len(case.refused) == case._next_key
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
@@ -35,7 +35,7 @@
 
     def __init__(self, timers, seed):
         self.timers, self.rng = timers, random.Random(seed)
-        self.share = self.rng.choice([0.0, 0.1, 0.4])
+        self.fault_probability = self.rng.choice([0.0, 0.1, 0.4])
         self.until_ms = timers.now_ms + REQUESTS_MS
         self.outages_ms = self.rng.choice([(), (1_000.0, 3_000.0)])
         self.store = SequencedStore(
@@ -79,7 +79,10 @@
         left_ms = self.until_ms - self.timers.now_ms
         if any(0.0 < left_ms - outage_ms < OUTAGE_MS for outage_ms in self.outages_ms):
             return "busy"
-        if self.timers.now_ms > self.until_ms or self.rng.random() > self.share:
+        if (
+            self.timers.now_ms > self.until_ms
+            or self.rng.random() > self.fault_probability
+        ):
             return ""
         return self.rng.choice(FAULTS)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
@@ -34,8 +34,8 @@
 
 def roundtrip(speeds):
     """Return what a peer reads of a heartbeat that carries speeds."""
-    beat = Heartbeat(owned=[], config_version=1, leaving=False, speeds=speeds)
-    return decode(encode(beat), peer="edge-1").speeds
+    heartbeat = Heartbeat(owned=[], config_version=1, leaving=False, speeds=speeds)
+    return decode(encode(heartbeat), peer="edge-1").speeds
 
 
 def test_what_one_instance_tells_another_keeps(now, daemon):
@@ -159,7 +159,9 @@
     local = LearnedSpeeds(daemon=daemon)
     local.announce(CELL, 3, [speed("m1", 0.4)])
     unannounced = local.take_unannounced()
-    beat = Heartbeat(owned=owned, config_version=1, leaving=False, speeds=unannounced)
-    read = decode(encode(beat), peer="edge-1")
+    heartbeat = Heartbeat(
+        owned=owned, config_version=1, leaving=False, speeds=unannounced
+    )
+    read = decode(encode(heartbeat), peer="edge-1")
     read.speeds = None
     assert read == without
