--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
@@ -1,4 +1,4 @@
-"""Calls to the advice service, spread over the instances."""
+"""Tests of the distribution of calls to the advice service over the instances."""
 
 from types import SimpleNamespace
 
@@ -25,7 +25,7 @@
 
 
 class FakeAdviceClient:
-    """Take this instance's own calls and leave them unanswered."""
+    """Record the local instance's calls and leave them unanswered."""
 
     def __init__(self):
         self.asked = []
@@ -64,7 +64,7 @@
 
 
 def record_steps(names):
-    """Return a taker of answers that notes which steps they are for."""
+    """Return an `on_answer` callback that records the steps' names."""
     return lambda step, *answer: names.append(step.name)
 
 
@@ -75,8 +75,8 @@
     )
 
 
-def test_two_owners_begin_with_different_instances(timers):
-    """From cab-bogota-grown, scale-2: a harvest waited 12 s for its tickets (LOST)."""
+def test_two_owners_start_with_different_instances(timers):
+    """Calls of all owners queued up at the same instances."""
     links = [FakeLink(name) for name in NAMES]
     for start_fraction in (0.0, 0.5):
         dispatcher = make_dispatcher(timers, links, start_fraction)
@@ -85,17 +85,17 @@
     assert max(len(link.sent) for link in links) == 1
 
 
-def test_a_call_waits_for_another_owners_call_at_the_same_instance(timers):
+def test_call_timeout_allows_for_another_owners_call(timers):
     links = [FakeLink("edge-0")]
     dispatcher = make_dispatcher(timers, links, 0.0)
     dispatcher.ask(advice_call())
     dispatcher.ask(advice_call())
-    timers.run(2 * 900)  # both calls of two owners, one after the other
+    timers.run(2 * 900)  # two calls, one after the other
     assert len(links[0].sent) == 1
 
 
-def test_a_call_of_the_last_queue_is_made_though_urgent_ones_never_cease(timers):
-    """From an overload by one kind of request: a step was never asked for (LOST)."""
+def test_low_priority_call_is_sent_despite_constant_urgent_calls(timers):
+    """Under overload, urgent calls starved the others."""
     links = [FakeLink(name) for name in NAMES]
     dispatcher = make_dispatcher(timers, links, 0.0)
     for _ in range(20):
@@ -121,8 +121,8 @@
     assert "late" in asked
 
 
-def test_an_answer_is_taken_by_the_owner_that_asked(timers):
-    """From a review: one instance owns two cells, and each answer goes to both."""
+def test_reply_is_handled_only_by_owner_that_made_call(timers):
+    """Replies go to all owners on an instance; call ids must not collide."""
     link = FakeLink("edge-0")
     taken = {"one": [], "two": []}
     owners = {
@@ -137,8 +137,8 @@
     assert taken == {"one": ["step-of-one"], "two": []}
 
 
-def test_an_answer_to_a_former_ownership_is_not_taken_by_the_next(timers):
-    """From a review: the cell was lost and regained, and call ids began anew."""
+def test_reply_to_previous_ownership_is_ignored(timers):
+    """Call ids must not start over when a cell is lost and regained."""
     link, answers = FakeLink("edge-0"), []
     former = make_dispatcher(timers, [link], 0.0, instance="edge-9")
     former.ask(advice_call("former"))
@@ -150,12 +150,12 @@
     assert not answers
 
 
-def test_what_waits_does_not_go_to_the_link_that_just_broke(timers):
-    """From a review: an adviser was failed, and so free, before it was forgotten."""
+def test_waiting_call_is_not_sent_over_broken_link(timers):
+    """A proxy whose call failed counted as free before it was removed."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
     answered = []
     dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
-    for name in "abc":  # two of the four instances take long calls: the third waits
+    for name in "abc":  # two of four instances take long calls
         dispatcher.ask(advice_call(name))
     links[0].sent.clear()
     dispatcher.update(links[1:])
@@ -163,21 +163,21 @@
     assert not links[0].sent
 
 
-def test_a_link_that_breaks_while_what_waited_is_sent(timers):
-    """From a review: `update` came again from within and met what it had deleted."""
+def test_link_breaking_during_send_fails_each_call_once(timers):
+    """`update` is called again while it removes proxies."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
     answered = []
     dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
-    for name in "abcde":  # one for each instance, and one that waits
+    for name in "abcde":  # one per instance, and one that waits
         dispatcher.ask(advice_call(name, cost_ms=100.0))
     newcomer = FakeLink("edge-3")
     newcomer.send = lambda message: dispatcher.update([])
     dispatcher.update([*links[1:], newcomer])
-    assert sorted(answered) == ["b", "c", "d", "e"]  # the own instance works on a
+    assert sorted(answered) == ["b", "c", "d", "e"]  # the local instance handles a
 
 
-def test_a_long_call_goes_out_though_all_links_break_under_a_short_one(timers):
-    """From a review: what had been put aside was put back without another look."""
+def test_long_call_is_sent_after_links_break_during_short_call(timers):
+    """Calls set aside during a dispatch need another pass after the links change."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
     client = FakeAdviceClient()
     dispatcher = make_dispatcher(timers, links, 0.25, client=client)
@@ -188,14 +188,14 @@
     assert client.asked == ["long-3"]
 
 
-def test_what_waits_goes_out_once_a_pause_is_over(timers):
-    """From a review: nobody looked again, and the step was never asked for."""
+def test_waiting_call_is_sent_when_pause_ends(timers):
+    """With all proxies paused, no answer triggers a dispatch."""
     links = [FakeLink(name) for name in NAMES]
     answered = []
     dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
-    for number in range(7):  # as many as there are instances for long calls
+    for number in range(7):  # one per instance that takes long calls
         dispatcher.ask(advice_call(f"s{number}"))
-    timers.run(3_500)  # none is answered, and all seven are paused
+    timers.run(3_500)  # none is answered; all are paused
     assert len(answered) == 7
     for link in links:
         link.sent.clear()
@@ -205,8 +205,8 @@
     assert [row.step for link in links for row in link.sent] == ["again"]
 
 
-def test_what_was_put_aside_is_not_sent_after_an_end_from_within(timers):
-    """A link that breaks under a send may lose the cell."""
+def test_no_call_is_sent_after_end_during_dispatch(timers):
+    """A link that breaks during a send may end the ownership."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
     client = FakeAdviceClient()
     dispatcher = make_dispatcher(timers, links, 0.25, client=client)
@@ -218,7 +218,7 @@
     assert not client.asked
 
 
-def test_a_call_takes_a_slot_until_it_is_answered(timers):
+def test_call_occupies_slot_until_answered(timers):
     links = [FakeLink(f"edge-{number}") for number in range(9)]
     dispatcher = make_dispatcher(timers, links, 0.0)
     assert (dispatcher.slots.any_call, dispatcher.slots.advice_call) == (10, 7)
@@ -229,15 +229,15 @@
     assert (dispatcher.slots.any_call, dispatcher.slots.advice_call) == (10, 7)
 
 
-def test_a_paused_instance_has_no_slot(timers):
+def test_paused_instance_has_no_slot(timers):
     dispatcher = make_dispatcher(timers, [FakeLink("edge-0")], 0.0)
     dispatcher.ask(advice_call())
-    timers.run(3_300)  # it is not answered, and the instance is paused
+    timers.run(3_300)  # the call times out
     assert (dispatcher.slots.any_call, dispatcher.slots.advice_call) == (1, 0)
 
 
-def test_long_calls_may_take_nearly_all_instances_while_short_ones_are_few(timers):
-    """From cab-bogota, shifted: nine of 29 instances idled beside steps that waited."""
+def test_long_calls_use_nearly_all_instances_without_short_calls(timers):
+    """A fixed reserve left instances idle while long calls waited."""
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
     dispatcher = make_dispatcher(timers, links, 0.0)
     assert dispatcher.slots.advice_call == 14
@@ -246,19 +246,17 @@
     assert dispatcher.slots.advice_call == 18
 
 
-def test_instances_are_kept_for_as_many_short_calls_as_there_were(timers):
+def test_reserve_follows_recent_number_of_short_calls(timers):
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
     dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
     for _ in range(2):
         dispatcher.ask(advice_call(cost_ms=60.0))
-    assert (
-        dispatcher.slots.advice_call == 15
-    )  # of 20, with five kept for twice two and one
+    assert dispatcher.slots.advice_call == 15  # of 20, with 2 * 2 + 1 reserved
 
 
-def test_short_calls_are_kept_room_for_as_soon_as_there_are_some(timers):
-    """After a time without any, a rise was not noted for five seconds."""
+def test_reserve_grows_at_once_when_short_calls_begin(timers):
+    """A rise was recorded only at the end of the retention time."""
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
     dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
@@ -267,29 +265,27 @@
     timers.run(100)
     for _ in range(2):
         dispatcher.ask(advice_call(cost_ms=60.0))
-    assert (
-        dispatcher.slots.advice_call == 14
-    )  # of 20, five are kept and one is under way
+    assert dispatcher.slots.advice_call == 14  # of 20, 5 are reserved and 1 is busy
 
 
 def end_job(call):
-    """Let a call's job end."""
+    """End the job of a call."""
     call.step.job.is_live = False
 
 
-def test_what_waits_for_jobs_that_have_ended_takes_no_slot(timers):
+def test_calls_of_ended_jobs_occupy_no_slot(timers):
     dispatcher = make_dispatcher(timers, [FakeLink("edge-0")], 0.0)
     calls = [advice_call(f"s{number}") for number in range(6)]
     for call in calls:
         dispatcher.ask(call)
-    assert dispatcher.slots.any_call == -4  # one is under way, five wait for long calls
+    assert dispatcher.slots.any_call == -4  # 1 in flight, 5 waiting
     for call in calls[1:]:
         end_job(call)
     slots = dispatcher.current_slots()
     assert (slots.any_call, slots.advice_call) == (1, 0)
 
 
-def test_another_instance_is_told_once_of_a_call_in_vain(timers):
+def test_instance_is_notified_once_of_unwanted_call(timers):
     told = []
     link = FakeLink("edge-0")
     dispatcher = make_dispatcher(
@@ -310,7 +306,7 @@
     assert [message.step for message in link.sent] == ["leaves", "stays"]
 
 
-def test_an_own_call_that_has_not_left_is_not_made_in_vain(timers):
+def test_unsent_local_call_becomes_unwanted_when_job_ends(timers):
     client = FakeAdviceClient()
     dispatcher = make_dispatcher(timers, [], 0.0, client=client)
     call = advice_call()
@@ -321,7 +317,7 @@
     assert not wanted()
 
 
-def test_a_link_that_breaks_under_the_news_of_a_call_in_vain(timers):
+def test_link_breaking_during_withdrawal_is_handled(timers):
     links = [FakeLink("edge-0"), FakeLink("edge-1")]
     told = []
 
@@ -335,5 +331,5 @@
         dispatcher.ask(call)
     for call in calls:
         end_job(call)
-    assert dispatcher.current_slots().any_call == 0  # the own one is busy still
+    assert dispatcher.current_slots().any_call == 0  # the local instance is still busy
     assert len(told) == 1
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
@@ -1,7 +1,7 @@
-"""Failures with several appends under way: lost, late, early, refused, fenced.
+"""Tests of failures with several appends in flight.
 
-The store holds the batches in order, each once; a batch is told as stored only when it
-and all before it are, and is given back only if it never will be.
+The store must hold the batches in order and once each. A batch is reported as stored
+only with all earlier ones, and returned only if it will never be stored.
 """
 
 import random
@@ -25,7 +25,7 @@
 
 
 class Writer:
-    """Hand batches to a pump, and keep what it tells of them."""
+    """Send batches to a pipeline and record what it reports."""
 
     def __init__(self, timers, store, may_write=lambda: True):
         self.store = store
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 def writer(timers):
-    """Return a writer with three appends under way at a slow store."""
+    """Return a writer with three appends in flight at a slow store."""
     writer = Writer(timers, FakeStore())
     writer.send("slow")
     timers.run(SLOW_ANSWER_MS)
@@ -65,23 +65,23 @@
 
 
 def answer(writer, call, outcome, wanted=-1):
-    """Answer a call; 0 is the one that showed the store to be slow."""
+    """Answer a call by its index; call 0 showed the store to be slow."""
     result = AppendResult(outcome=outcome, wanted_sequence=wanted)
     writer.store.appends[call]["on_result"](result)
 
 
 def calls_with_sequence(writer, number):
-    """Return which calls, in their order, were made under a number."""
+    """Return the indices of the calls with a sequence number."""
     appends = enumerate(writer.store.appends)
     return [index for index, call in appends if call["sequence"] == number]
 
 
-def test_each_of_several_has_the_number_after_the_one_before(writer):
+def test_overlapping_appends_have_consecutive_sequences(writer):
     numbers = [call["sequence"] for call in writer.store.appends]
     assert list(dict.fromkeys(numbers)) == [1, 2, 3, 4]
 
 
-def test_what_is_answered_first_tells_of_those_before_it(writer):
+def test_stored_answer_confirms_all_earlier_batches(writer):
     answer(writer, calls_with_sequence(writer, 3)[0], AppendOutcome.STORED)
     assert writer.stored == writer.sent[:2]
     answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.STORED)
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("lost", [2, 3, 4])
-def test_a_lost_answer_of_any_of_them_holds_up_none_for_good(writer, timers, lost):
+def test_lost_answer_blocks_no_batch_permanently(writer, timers, lost):
     for number in (2, 3, 4):
         if number != lost:
             answer(writer, calls_with_sequence(writer, number)[0], AppendOutcome.STORED)
@@ -103,7 +103,7 @@
     assert writer.stored == writer.sent and not writer.returned
 
 
-def test_one_that_came_too_early_is_sent_again_once_what_it_follows_is_stored(writer):
+def test_early_append_is_resent_after_earlier_ones_are_stored(writer):
     answer(
         writer,
         calls_with_sequence(writer, 3)[0],
@@ -126,7 +126,7 @@
     assert writer.stored == writer.sent
 
 
-def test_an_early_one_heard_of_late_is_sent_again_at_once(writer):
+def test_late_answer_to_early_append_triggers_resend(writer):
     answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.STORED)
     answer(
         writer,
@@ -137,7 +137,7 @@
     assert len(calls_with_sequence(writer, 3)) == 2 and not writer.lost
 
 
-def test_a_number_that_is_wanted_tells_that_those_below_it_are_stored(writer):
+def test_wanted_sequence_confirms_all_lower_ones(writer):
     answer(
         writer,
         calls_with_sequence(writer, 4)[0],
@@ -148,7 +148,7 @@
     assert len(calls_with_sequence(writer, 4)) == 2
 
 
-def test_one_that_follows_what_is_stored_can_t_come_too_early(writer):
+def test_out_of_sequence_after_stored_append_ends_ownership(writer):
     answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.STORED)
     answer(
         writer,
@@ -165,7 +165,7 @@
     assert writer.lost == ["out_of_sequence"]
 
 
-def test_all_come_back_the_last_first_once_none_can_be_stored(writer):
+def test_unstored_batches_are_returned_last_first(writer):
     answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.NOT_STORED)
     answer(
         writer,
@@ -185,8 +185,8 @@
     assert writer.store.appends[-1]["sequence"] == 2
 
 
-def test_nothing_comes_back_while_one_after_it_is_in_doubt(writer, timers):
-    """A late call of the third, after a new second, would store it a second time."""
+def test_no_batch_is_returned_while_later_outcome_is_unknown(writer, timers):
+    """A delayed call could store the third batch after a new second one."""
     answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.NOT_STORED)
     answer(writer, calls_with_sequence(writer, 3)[0], AppendOutcome.UNKNOWN)
     answer(
@@ -205,7 +205,7 @@
     assert writer.stored == writer.sent
 
 
-def test_one_in_the_middle_that_is_turned_away_is_sent_again(writer):
+def test_rejected_append_in_the_middle_is_resent(writer):
     answer(writer, calls_with_sequence(writer, 3)[0], AppendOutcome.NOT_STORED)
     answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.STORED)
     answer(
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize("number", [2, 3, 4])
-def test_a_fence_ends_all_of_them(writer, timers, number):
+def test_fenced_append_ends_all_in_flight(writer, timers, number):
     answer(writer, calls_with_sequence(writer, number)[0], AppendOutcome.FENCED)
     assert writer.lost == ["fenced"]
     count = len(writer.store.appends)
@@ -230,7 +230,7 @@
     assert not writer.stored and not writer.returned
 
 
-def test_an_owner_that_ends_on_the_way_is_told_of_no_more(writer):
+def test_nothing_is_reported_after_end(writer):
     def end(batch):
         writer.stored.append(batch)
         writer.pipeline.end()
@@ -240,14 +240,14 @@
     assert writer.stored == writer.sent[:1]
 
 
-def test_a_batch_without_records_waits_for_those_before_it(writer):
+def test_batch_without_records_waits_for_earlier_ones(writer):
     writer.send()
     assert not writer.stored
     answer(writer, calls_with_sequence(writer, 4)[0], AppendOutcome.STORED)
     assert writer.stored == writer.sent
 
 
-def test_a_listener_that_fails_holds_up_none_after_it(writer):
+def test_failing_callback_does_not_block_later_batches(writer):
     def fail(batch):
         raise RuntimeError
 
@@ -258,7 +258,7 @@
 
 
 class RandomFaultCase:
-    """Write at random to a store that fails at random."""
+    """Write randomly to a store that fails randomly."""
 
     def __init__(self, timers, seed):
         self._timers, self._rng = timers, random.Random(seed)
@@ -293,7 +293,7 @@
         return self._rng.choice(self._faults)
 
     def _step(self):
-        """Decide, send if the pump takes it, and be sure of the cell or not."""
+        """Queue records, send them if the pipeline allows, and vary `may_write`."""
         self._may_write = not self._is_failing() or self._rng.random() > 0.05
         if self._is_failing() and self._rng.random() < 0.5:
             self._next_key += 1
@@ -322,7 +322,7 @@
         assert stored >= set(self.confirmed)
 
     def _on_returned(self, batch):
-        """Refuse every other one, let the rest wait again before all others."""
+        """Refuse every second record and queue the rest before all others."""
         keys = [key for key, _ in batch.records]
         self.refused += keys[::2]
         self.waiting = keys[1::2] + self.waiting
@@ -330,7 +330,7 @@
 
 
 @pytest.mark.parametrize("seed", range(CASES))
-def test_whatever_fails_each_batch_is_stored_once_and_in_order(timers, seed):
+def test_batches_are_stored_once_in_order_under_random_faults(timers, seed):
     case = RandomFaultCase(timers, seed)
     timers.run(FAULTS_UNTIL_MS + RECOVERY_MS)
     stored = [key for key, _ in case.writer.store.stored]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_overlap.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_overlap.py
@@ -1,8 +1,7 @@
-"""Load: a store that takes 250 to 600 ms an append, and 60 jobs a second for a cell.
+"""Tests of overlapping appends: waiting times at a slow store.
 
-A caller's job waits for the append that carries it, and each start for the one with its
-intent. One append at a time makes that one and a half appends on average; a quick store
-is worth no more calls than one at a time takes.
+A job waits for the append that carries it, which takes 250 to 600 ms here. A fast store
+must get no more calls than without overlap.
 """
 
 import random
@@ -27,7 +26,7 @@
 
 
 class DecisionLoad:
-    """Decide all the time; what waits leaves with the next batch."""
+    """Decide at random times; waiting decisions leave with the next batch."""
 
     def __init__(self, timers, store, rng):
         self._timers, self._rng = timers, rng
@@ -74,7 +73,7 @@
 def run_load(
     timers, monkeypatch, max_in_flight, *, latency_ms, service_time_ms, seed=1
 ):
-    """Return the mean wait from a decision to its answered append, and the store."""
+    """Return the mean wait from a decision to its stored append, and the store."""
     monkeypatch.setattr(append_window, "MAX_IN_FLIGHT", max_in_flight)
     monkeypatch.setattr(append_window, "INITIAL_IN_FLIGHT", min(2.0, max_in_flight))
     rng = random.Random(seed)
@@ -94,19 +93,23 @@
 @pytest.mark.parametrize(
     "latency_ms, service_time_ms, max_ratio",
     [
-        (65.0, 160.0, 0.96),  # 290 ms, half of it the turn
+        (65.0, 160.0, 0.96),  # 290 ms, half of it service time
         (100.0, 240.0, 0.95),  # 440 ms
-        (120.0, 10.0, 0.88),  # 250 ms, nearly all of it on the way
+        (120.0, 10.0, 0.88),  # 250 ms, nearly all of it latency
         (290.0, 20.0, 0.9),  # 600 ms
-        (10.0, 300.0, 1.15),  # all is the turn: only what finding out costs
+        (10.0, 300.0, 1.15),  # only service time: overlap gains nothing
     ],
 )
-def test_a_decision_waits_less_where_appends_overlap(
+def test_overlap_shortens_waits_at_slow_store(
     timers, monkeypatch, latency_ms, service_time_ms, max_ratio
 ):
     ratios = []
     for seed in range(1, 6):
-        load = {"way_ms": latency_ms, "turn_ms": service_time_ms, "seed": seed}
+        load = {
+            "latency_ms": latency_ms,
+            "service_time_ms": service_time_ms,
+            "seed": seed,
+        }
         sequential_ms, _ = run_load(timers, monkeypatch, SEQUENTIAL, **load)
         overlapping_ms, store = run_load(timers, monkeypatch, OVERLAPPING, **load)
         assert store.max_open <= append_pipeline.MAX_OPEN_CALLS
@@ -114,15 +117,15 @@
     assert mean(ratios) <= max_ratio
 
 
-def test_a_quick_store_gets_one_append_at_a_time(timers, monkeypatch):
-    load = {"way_ms": 3.0, "turn_ms": 4.0}
+def test_fast_store_gets_one_append_at_a_time(timers, monkeypatch):
+    load = {"latency_ms": 3.0, "service_time_ms": 4.0}
     sequential_ms, before = run_load(timers, monkeypatch, SEQUENTIAL, **load)
     wait_ms, store = run_load(timers, monkeypatch, OVERLAPPING, **load)
     assert store.max_open == 1
     assert (wait_ms, store.calls) == (pytest.approx(sequential_ms), before.calls)
 
 
-def test_once_the_store_is_quick_again_appends_go_one_at_a_time(timers):
+def test_overlap_ends_when_store_is_fast_again(timers):
     rng = random.Random(3)
     store = SequencedStore(timers=timers, latency_ms=jittered(rng, 150.0))
     DecisionLoad(timers, store, rng)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_pipeline.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_pipeline.py
@@ -1,4 +1,4 @@
-"""Appends: each batch once and in order."""
+"""Tests of ordered, exactly-once appends."""
 
 import pytest
 
@@ -46,7 +46,7 @@
     return [call["sequence"] for call in pipeline.store.appends]
 
 
-def test_an_unanswered_append_is_sent_again_under_its_number(pipeline, timers):
+def test_unanswered_append_is_resent_with_same_sequence(pipeline, timers):
     stored, _ = send(pipeline, "a")
     answer(pipeline, AppendOutcome.UNKNOWN)
     timers.run(200)
@@ -55,15 +55,15 @@
     assert set(sequences(pipeline)) == {1}
 
 
-def test_a_batch_without_records_takes_no_number(pipeline):
-    # Seen in trouble-3 of cab-bogota: the next append was refused as out of sequence.
+def test_batch_without_records_uses_no_sequence_number(pipeline):
+    # The next append would be refused as out of sequence.
     stored, _ = send(pipeline)
     assert len(stored) == 1 and not pipeline.store.appends
     send(pipeline, "a")
     assert sequences(pipeline) == [1]
 
 
-def test_what_was_not_stored_comes_back_and_its_number_is_used_again(pipeline):
+def test_rejected_batch_is_returned_and_its_sequence_reused(pipeline):
     _, returned = send(pipeline, "a")
     answer(pipeline, AppendOutcome.NOT_STORED)
     assert len(returned) == 1 and pipeline.is_store_unavailable
@@ -73,7 +73,7 @@
     assert not pipeline.is_store_unavailable
 
 
-def test_what_may_be_stored_never_comes_back(pipeline, timers):
+def test_batch_with_unknown_outcome_is_never_returned(pipeline, timers):
     _, returned = send(pipeline, "a")
     answer(pipeline, AppendOutcome.UNKNOWN)
     timers.run(200)
@@ -81,21 +81,21 @@
     assert not returned
 
 
-def test_a_fence_ends_the_ownership(pipeline):
+def test_fenced_append_ends_ownership(pipeline):
     send(pipeline, "a")
     answer(pipeline, AppendOutcome.FENCED)
     assert pipeline.lost == ["fenced"]
 
 
-def test_a_long_append_means_that_the_store_is_away(pipeline, timers):
+def test_slow_append_makes_store_unavailable(pipeline, timers):
     send(pipeline, "a")
     assert not pipeline.is_store_unavailable
     timers.run(1_100)
     assert pipeline.is_store_unavailable
 
 
-def test_an_append_without_an_answer_is_sent_beside_the_first(pipeline, timers):
-    # Seen on days when the store loses answers: each loss cost a second.
+def test_unanswered_append_is_hedged(pipeline, timers):
+    # A lost answer must not delay the batch until the call's timeout.
     stored, _ = send(pipeline, "a")
     timers.run(70)
     assert sequences(pipeline) == [1, 1]
@@ -104,27 +104,27 @@
     assert len(stored) == 1
 
 
-def test_hedges_follow_at_growing_distances_and_are_few(pipeline, timers):
-    # Seen on days with a slow store: each repetition takes its turn there as well.
+def test_hedges_are_sent_at_growing_intervals(pipeline, timers):
+    # Each hedge costs time in a slow store.
     send(pipeline, "a")
     timers.run(900)
     assert len(sequences(pipeline)) == 4
     assert set(sequences(pipeline)) == {1}
 
 
-def test_a_number_that_was_stored_long_ago_is_taken_as_stored(pipeline):
+def test_sequence_below_wanted_one_counts_as_stored(pipeline):
     stored, _ = send(pipeline, "a")
     answer(pipeline, AppendOutcome.OUT_OF_SEQUENCE, wanted=4)
     assert stored
 
 
-def test_a_number_that_is_too_high_ends_the_ownership(pipeline):
+def test_sequence_above_wanted_one_ends_ownership(pipeline):
     send(pipeline, "a")
     answer(pipeline, AppendOutcome.OUT_OF_SEQUENCE, wanted=0)
     assert pipeline.lost == ["out_of_sequence"]
 
 
-def test_a_silent_store_counts_as_away_after_a_second(pipeline, timers):
+def test_unresponsive_store_is_unavailable_after_one_second(pipeline, timers):
     send(pipeline, "a")
     timers.run(950)
     assert not pipeline.is_store_unavailable
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -1,4 +1,4 @@
-"""An owner that can't serve its cell gives it up."""
+"""Tests of takeovers that fail, and of requests when an ownership ends."""
 
 from types import SimpleNamespace
 
@@ -33,7 +33,7 @@
 
 
 class PooledStore(PartitionStore):
-    """Log what fails in whoever takes an answer, as the pool of connections does."""
+    """Log exceptions of callbacks, as the connection pool does."""
 
     def newest(self, *, on_result, **fields):
         super().newest(on_result=logger.catch(on_result), **fields)
@@ -82,19 +82,19 @@
 
 @pytest.fixture
 def lines():
-    """Return the log's records, as the fixture's sink takes them."""
+    """Return the captured log records."""
     lines = []
     sink = logger.add(lambda message: lines.append(message.record))
     yield lines
     logger.remove(sink)
 
 
-def test_a_cell_that_loads_is_served(daemon):
+def test_loaded_cell_is_served(daemon):
     daemon.owned_cells.update()
     assert daemon.owners[0].is_serving and not daemon.given_up
 
 
-def test_a_cell_that_can_t_be_loaded_is_given_up(daemon, lines):
+def test_cell_that_fails_to_load_is_given_up(daemon, lines):
     daemon.store.partition.put("jaa", b"not a job")
     daemon.owned_cells.update()
     assert daemon.given_up == [(7, 3)] and not daemon.owners
@@ -105,7 +105,7 @@
     assert failure["exception"] is not None
 
 
-def test_a_cell_that_can_t_be_loaded_once_the_inputs_came_is_given_up(daemon, timers):
+def test_cell_that_fails_to_load_after_inputs_arrive_is_given_up(daemon, timers):
     daemon.worker_list.is_complete = False
     daemon.store.partition.put("jaa", b"not a job")
     daemon.owned_cells.update()
@@ -115,7 +115,7 @@
     assert daemon.given_up == [(7, 3)]
 
 
-def test_a_later_epoch_takes_over_what_could_not_be_loaded(daemon):
+def test_later_epoch_takes_over_cell_that_failed_to_load(daemon):
     daemon.store.partition.put("jaa", b"not a job")
     daemon.owned_cells.update()
     daemon.store.partition.put("jaa", b"")
@@ -124,7 +124,7 @@
     assert daemon.owners[0].epoch == 5 and daemon.owners[0].is_serving
 
 
-def test_an_owner_begins_with_what_the_one_before_could_not_store(daemon):
+def test_owner_applies_unstored_ends_of_previous_owner(daemon):
     job = Job.create(
         job_id="aa",
         queue_name="q",
@@ -162,19 +162,19 @@
     owner.request(kind, "q", job_id, data, replies.append, **options)
 
 
-def test_who_asked_for_what_no_append_has_held_may_ask_the_next_owner(daemon):
-    """They were left in doubt though nothing of it had left this instance."""
+def test_requests_not_in_any_append_are_refused_when_ownership_ends(daemon):
+    """Their callers got no answer, though nothing was sent to the store."""
     daemon.owned_cells.update()
     owner, replies = daemon.owners[0], []
     send_request(owner, NEW_JOB, replies)
     send_request(owner, NEW_JOB, replies, kind="cancel")
     assert not replies
-    owner.drop_ownership("the test says so")
+    owner.drop_ownership("test")
     assert [reply.outcome for reply in replies] == [Outcome.NOT_OWNER] * 2
     assert ("refusals", "given_back") in daemon.metrics.counts
 
 
-def test_what_an_append_has_held_stays_in_doubt(daemon, timers):
+def test_requests_in_append_get_no_answer_when_ownership_ends(daemon, timers):
     daemon.owned_cells.update()
     owner, replies, later = daemon.owners[0], [], []
     appends = []
@@ -182,16 +182,16 @@
     send_request(owner, NEW_JOB, replies)
     timers.run(10)
     assert len(appends) == 1
-    send_request(owner, NEW_JOB, replies)  # the same again waits for that append, too
+    send_request(owner, NEW_JOB, replies)  # a duplicate waits for the same append
     send_request(owner, SECOND_JOB, later)
     timers.run(10)
-    owner.drop_ownership("the test says so")
+    owner.drop_ownership("test")
     assert not replies
     assert [reply.outcome for reply in later] == [Outcome.NOT_OWNER]
 
 
 def silence_store(daemon, timers):
-    """Let appends go unanswered from now on; return them, one job in the first."""
+    """Stop answering appends; return them, the first with one job."""
     appends = []
     daemon.store.append = lambda **fields: appends.append(fields)
     send_request(daemon.owners[0], NEW_JOB, [], patience_ms=400)
@@ -200,21 +200,21 @@
     return appends
 
 
-def test_what_no_append_has_held_by_its_callers_deadline_was_not_taken(daemon, timers):
-    """The store did not answer; who waited behind an append was left in doubt."""
+def test_job_not_in_any_append_is_refused_before_callers_timeout(daemon, timers):
+    """Callers waiting behind an unanswered append got no answer."""
     daemon.owned_cells.update()
     appends, replies = silence_store(daemon, timers), []
     send_request(daemon.owners[0], SECOND_JOB, replies, patience_ms=400)
     timers.run(280)
     assert not replies
-    timers.run(119)  # before who asked gives up
+    timers.run(119)  # just before the caller's timeout
     (reply,) = replies
     assert reply.outcome is Outcome.REFUSED and reply.retry_after_ms > 0
     assert SECOND_JOB not in daemon.owners[0].cell.context.jobs
     assert all(SECOND_JOB not in str(fields) for fields in appends)
 
 
-def test_what_an_append_may_hold_is_not_given_up(daemon, timers):
+def test_job_in_append_is_not_abandoned(daemon, timers):
     daemon.owned_cells.update()
     silence_store(daemon, timers)
     replies = []
@@ -224,7 +224,7 @@
     assert NEW_JOB in daemon.owners[0].cell.context.jobs
 
 
-def test_what_was_stored_in_time_stays(daemon, timers):
+def test_job_stored_in_time_is_kept(daemon, timers):
     daemon.owned_cells.update()
     replies = []
     send_request(daemon.owners[0], NEW_JOB, replies, patience_ms=400)
@@ -233,8 +233,8 @@
     assert NEW_JOB in daemon.owners[0].cell.context.jobs
 
 
-def test_without_a_word_of_its_callers_patience_a_job_waits_on(daemon, timers):
-    """As asked by an older instance."""
+def test_job_without_callers_timeout_keeps_waiting(daemon, timers):
+    """Instances of older versions don't send the timeout."""
     daemon.owned_cells.update()
     silence_store(daemon, timers)
     replies = []
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
@@ -1,7 +1,7 @@
-"""A cell, its turns and its appends at a slow store that fails at random.
+"""Tests of a cell, its scheduling loop and its appends with random store faults.
 
-Whoever was told that a job is accepted or cancelled finds it so in the store; a job
-that was refused is not there; and nothing is forgotten.
+Jobs and cancellations that were confirmed to callers must be in the store, refused jobs
+must not.
 """
 
 import random
@@ -31,7 +31,7 @@
 
 
 class SimulatedOwner:
-    """Take requests of callers and check each reply against the store."""
+    """Send random requests and check each reply against the store."""
 
     def __init__(self, timers, seed):
         self.timers, self.rng = timers, random.Random(seed)
@@ -87,7 +87,7 @@
         return self.rng.choice(FAULTS)
 
     def send_request(self):
-        """Hand in a job; sometimes cancel one that was handed in."""
+        """Submit a job, or cancel one that was submitted."""
         if self.timers.now_ms > self.until_ms:
             return
         now_ms, intake = self.timers.now_ms, self.cell.intake
@@ -106,7 +106,7 @@
                 self.check(effect)
 
     def check(self, reply):
-        """Check that what is told is stored, and note the reply."""
+        """Check that a confirmed change is stored, and record the reply."""
         _, job_id = reply.request_id
         self.outcomes.setdefault(reply.request_id, []).append(reply.outcome)
         if reply.outcome is Outcome.ACCEPTED:
@@ -115,12 +115,12 @@
             assert PROGRESS_KEY + job_id in self.written()
 
     def written(self):
-        """Return the keys that ever had a value; dropping one that had none is idle."""
+        """Return the keys that have had a value."""
         return {key for key, value in self.store.stored if value}
 
 
 @pytest.mark.parametrize("seed", range(CASES))
-def test_whoever_was_told_finds_it_stored(timers, seed):
+def test_confirmed_requests_are_stored(timers, seed):
     owner = SimulatedOwner(timers, seed)
     timers.run(REQUESTS_MS + RECOVERY_MS)
     assert not owner.lost and not owner.pipeline.is_busy
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
@@ -1,4 +1,4 @@
-"""Orders to workers carry a fence of the worker's life, and heed what comes back."""
+"""Tests of fences and cancellation of commands to workers."""
 
 from types import SimpleNamespace
 
@@ -13,7 +13,7 @@
 
 
 class FakeClient:
-    """Keep the orders that are sent."""
+    """Record the commands that are sent."""
 
     def __init__(self):
         self.starts = []
@@ -63,7 +63,7 @@
     return client.stops[-1]
 
 
-def test_the_fence_rises_with_each_life_and_stays_below_the_next_owners(owner, client):
+def test_fence_rises_per_incarnation_but_stays_below_next_epoch(owner, client):
     fences = [
         send_stop(owner, client, make_worker(number))["fence"] for number in range(3)
     ]
@@ -71,13 +71,13 @@
     assert fences[-1] < make_worker().fence(EPOCH + 1)
 
 
-def test_a_newer_owners_fence_loses_the_cell(owner, client):
+def test_fence_of_newer_owner_ends_ownership(owner, client):
     stop = send_stop(owner, client, make_worker())
     stop["done"](CommandAnswer(refusal=Refusal.FENCED, clock_ms=5))
     assert owner.lost and not owner.heard
 
 
-def test_the_fence_of_the_workers_next_life_does_not_lose_the_cell(owner, client):
+def test_fence_of_next_incarnation_does_not_end_ownership(owner, client):
     worker = make_worker()
     stop = send_stop(owner, client, worker)
     worker.is_over = True
@@ -86,10 +86,8 @@
 
 
 @pytest.mark.parametrize("state", [RunState.STOPPING, RunState.GONE])
-def test_a_start_that_waits_for_a_connection_does_not_leave_once_cancelled(
-    owner, client, state
-):
-    """It left after its job was cancelled, beside the order to stop it."""
+def test_waiting_start_is_unwanted_after_cancellation(owner, client, state):
+    """It was sent after the stop of the same run."""
     worker = make_worker()
     job = SimpleNamespace(spec=SimpleNamespace(payload=""))
     step = SimpleNamespace(job=job, ticket_for=lambda worker_id, now_ms: None)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
@@ -1,4 +1,4 @@
-"""What is left of an owner once it has ended."""
+"""Tests of an owner whose ownership has ended."""
 
 from types import SimpleNamespace
 
@@ -29,28 +29,28 @@
 
 @pytest.fixture
 def owner_with_calls(daemon):
-    """Return an owner with one call under way at another instance and one waiting."""
+    """Return an owner with one advice call in flight and one waiting."""
     owner = CellOwner(cell=0, epoch=1, daemon=daemon)
     link = FakeLink("edge-0")
     owner._advice_dispatcher.update([link])
-    owner._advice_dispatcher.ask(advice_call("under way"))
+    owner._advice_dispatcher.ask(advice_call("in flight"))
     owner._advice_dispatcher.ask(advice_call("waiting"))
-    assert [message.step for message in link.sent] == ["under way"]
+    assert [message.step for message in link.sent] == ["in flight"]
     return owner, link
 
 
-def test_an_ended_owner_makes_no_more_advice_calls(owner_with_calls, timers):
-    """From a review: they went out before those of the cell's next owner."""
+def test_ended_owner_makes_no_advice_calls(owner_with_calls, timers):
+    """They were sent before those of the cell's next owner."""
     owner, link = owner_with_calls
-    owner.end("the test says so")
+    owner.end("test")
     owner.on_advice_reply(reply_to(link.sent[0]))
     timers.run(10_000)
-    assert [message.step for message in link.sent] == ["under way"]
+    assert [message.step for message in link.sent] == ["in flight"]
 
 
-def test_an_ended_owner_waits_for_no_answer(owner_with_calls, timers):
+def test_ended_owner_has_no_call_timeouts(owner_with_calls, timers):
     owner, link = owner_with_calls
-    owner.end("the test says so")
+    owner.end("test")
     timers.run(10_000)
-    assert [message.step for message in link.sent] == ["under way"]
+    assert [message.step for message in link.sent] == ["in flight"]
     assert not [row for row in owner.metrics.counts if row[0] == "retries"]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
@@ -1,7 +1,7 @@
-"""Cells go to members that are better placed, and back no more often than it is worth.
+"""Tests of handovers in a simulated group.
 
-The failure is the loss of all instances of the best tier: others stand in, and leave
-once those are back. The load is an owner that can't follow while another could.
+Instances of the best tier fail and return, or owners are overloaded; the number of
+handovers must stay low.
 """
 
 import random
@@ -41,32 +41,32 @@
 
 
 def overload(instance):
-    """Have an owner that can't follow."""
+    """Make an owner overloaded."""
     load = instance.owner_load.load
     load.value, load.is_overloaded = 1.5, True
 
 
 def relieve(instance):
-    """Have an instance that owns nothing, or can follow."""
+    """Remove an instance's load."""
     instance.owner_load.load.reset()
 
 
 def run_until_handover_begins(group, instance):
-    """Run until an instance has decided to leave, and waits for what is not stored."""
+    """Run until an instance waits with its leave for records to be stored."""
     for _ in range(10_000 // STEP_MS):
         if instance.handover.is_in_progress:
             return
         group.run(STEP_MS)
-    pytest.fail("it does not begin to leave")
+    pytest.fail("no handover has begun")
 
 
-def test_only_the_best_tier_takes_part_while_it_is_there(group):
+def test_only_best_tier_joins_while_available(group):
     group.run(30_000)
     assert set(group.members) == set(group.of(Tier.FULL))
     assert not group.handovers
 
 
-def test_the_next_tier_stands_in_within_the_standby_s_time(group):
+def test_next_tier_joins_within_standby_delay(group):
     group.stop(group.of(Tier.FULL))
     group.run(int(BETTER_TIER_RETURN_MS) - 100)
     assert not group.members
@@ -76,13 +76,13 @@
     assert {member.tier for member in group.members} == {Tier.PARTIAL}
 
 
-def test_the_least_stand_in_where_nobody_else_is_left(group):
+def test_lowest_tier_joins_when_no_other_is_left(group):
     group.stop(group.of(Tier.FULL) + group.of(Tier.PARTIAL))
     group.run(int(BETTER_TIER_RETURN_MS + NEXT_TIER_MS + JOIN_JITTER_MS) + 300)
     assert group.owner.tier is Tier.LEAST
 
 
-def test_better_ones_that_return_get_the_cell_once(group):
+def test_returning_better_tier_gets_cell_once(group):
     full = group.of(Tier.FULL)
     group.stop(full)
     group.run(8_000)
@@ -90,25 +90,23 @@
     group.restart(full)
     group.run(6_000)
     assert group.owner in full
-    assert (
-        temporary_owner.announcements == 1
-    )  # what it had heard and not stored went along
+    assert temporary_owner.announcements == 1  # unstored run ends were announced
     assert {member.tier for member in group.members} == {Tier.FULL}
     seen = len(group.owners_seen)
     group.run(30_000)
     assert len(group.owners_seen) == seen
 
 
-def test_a_middle_tier_takes_over_from_the_least(group):
+def test_middle_tier_takes_over_from_lowest(group):
     group.stop(group.of(Tier.FULL) + group.of(Tier.PARTIAL))
     group.run(9_000)
     assert group.owner.tier is Tier.LEAST
-    group.instances[2].is_up = True  # a middle one, which stands by
+    group.instances[2].is_up = True  # of the middle tier, on standby
     group.run(12_000)
     assert group.owner.tier is Tier.PARTIAL
 
 
-def test_better_ones_that_come_and_go_are_followed_ever_more_seldom(group):
+def test_handovers_back_off_when_better_tier_flaps(group):
     full = group.of(Tier.FULL)
     for _ in range(10):
         group.stop(full)
@@ -121,7 +119,7 @@
 
 
 @pytest.mark.parametrize("without_store", ["stand_in", "better"])
-def test_nothing_is_handed_over_while_the_store_is_away(group, without_store):
+def test_no_handover_while_store_is_unavailable(group, without_store):
     full = group.of(Tier.FULL)
     group.stop(full)
     group.run(8_000)
@@ -138,7 +136,7 @@
     assert group.owner in full
 
 
-def test_a_handover_waits_for_what_is_not_stored_and_ends_with_the_store(group):
+def test_handover_waits_for_records_and_is_cancelled_in_outage(group):
     full = group.of(Tier.FULL)
     group.stop(full)
     group.run(8_000)
@@ -153,7 +151,7 @@
     assert group.owner is temporary_owner and not temporary_owner.announcements
 
 
-def test_an_overloaded_owner_gives_its_cell_to_one_of_its_rank(group):
+def test_overloaded_owner_hands_over_within_its_tier(group):
     group.run(5_000)
     first = group.owner
     overload(first)
@@ -162,7 +160,7 @@
     assert group.handovers == ["overload"]
 
 
-def test_an_overloaded_owner_without_relief_stays(timers, seeded_random):
+def test_overloaded_owner_without_relief_keeps_cell(timers, seeded_random):
     group = SimulatedGroup(timers, full=1)
     group.run(8_000)
     overload(group.owner)
@@ -170,8 +168,7 @@
     assert group.owner.tier is Tier.FULL and not group.handovers
 
 
-def test_two_that_are_overloaded_in_turn_do_not_pass_the_cell_to_and_fro(group):
-    """A cell that overloads every owner costs no takeover every few seconds as well."""
+def test_cell_that_overloads_every_owner_is_rarely_handed_over(group):
     group.run(5_000)
     for _ in range(600):
         for instance in group.instances:
@@ -182,7 +179,7 @@
     assert len(group.handovers) <= 8  # in a minute
 
 
-def test_an_overloaded_owner_rests_and_takes_part_again(group):
+def test_overloaded_owner_joins_again_after_cooldown(group):
     group.run(5_000)
     first = group.owner
     overload(first)
@@ -193,8 +190,8 @@
     assert first in group.members and group.owner is not first
 
 
-def test_peers_that_know_no_tiers_are_left_alone(group):
-    """In a roll old instances tell none; nobody leaves the group for them."""
+def test_peers_without_tiers_cause_no_handover(group):
+    """Older versions send no tier during a rolling update."""
     temporary_owner = group.of(Tier.PARTIAL)[0]
     group.stop(group.of(Tier.FULL))
     group.run(8_000)
@@ -206,9 +203,7 @@
     assert group.owner is temporary_owner
 
 
-def test_better_instances_that_are_added_later_take_over_for_good(
-    timers, seeded_random
-):
+def test_better_instances_added_later_take_over_permanently(timers, seeded_random):
     group = SimulatedGroup(timers, known={Tier.LEAST, Tier.PARTIAL})
     group.stop(group.of(Tier.FULL))
     group.run(10_000)
@@ -218,13 +213,13 @@
     for _ in range(30):
         assert {member.tier for member in group.members} == {Tier.FULL}
         group.run(1_000)
-    assert group.handovers == ["better_tier"]  # who owned nothing gave nothing
+    assert group.handovers == ["better_tier"]  # members without cells hand over nothing
 
 
-def test_with_a_third_cut_from_the_store_the_best_that_are_left_own(
+def test_best_reachable_tier_owns_cell_when_store_is_partly_unreachable(
     timers, seeded_random
 ):
-    """The owner is among those cut off; no lower tier gets a turn, then or later."""
+    """The owner is cut off from the store; no lower tier may own the cell."""
     group = SimulatedGroup(timers, full=3, partial=3, least=6)
     group.run(3_000)
     first = group.owner
@@ -239,8 +234,8 @@
     assert not group.handovers
 
 
-def test_an_owner_whose_appends_are_not_taken_keeps_its_cell(group):
-    """Joins are answered, appends are not: a takeover would not come to its end."""
+def test_owner_without_appends_keeps_cell(group):
+    """With joins but no appends answered, a takeover could not finish."""
     group.run(5_000)
     first = group.owner
     first.owners[0].is_store_unavailable = True
@@ -252,7 +247,7 @@
     assert group.owner is not first
 
 
-def test_a_handover_is_given_up_when_the_better_ones_go_while_it_waits(group):
+def test_handover_is_cancelled_when_better_tier_is_lost(group):
     full = group.of(Tier.FULL)
     group.stop(full)
     group.run(8_000)
@@ -262,14 +257,14 @@
     run_until_handover_begins(group, temporary_owner)
     group.stop(full)
     for _ in range(20):
-        for instance in full:  # their links broke
+        for instance in full:  # their links are closed
             temporary_owner.peers.member_statuses.forget(instance.name)
         group.run(50)
     assert group.owner is temporary_owner and not temporary_owner.announcements
     assert ("owner_handovers_given_up", "better_tier") in temporary_owner.metrics.counts
 
 
-def test_a_handover_for_overload_is_given_up_when_the_owner_can_follow(group):
+def test_overload_handover_is_cancelled_when_load_drops(group):
     group.run(5_000)
     first = group.owner
     first.owners[0].has_unstored_records = True
@@ -280,8 +275,8 @@
     assert group.owner is first and not group.handovers
 
 
-def test_a_stand_in_whose_takeover_takes_long_leaves_it_to_better_ones(group):
-    """It reads the whole cell over a narrow link while they are back."""
+def test_slow_takeover_is_left_to_returning_better_tier(group):
+    """Reading the cell over a narrow link takes longer than their return."""
     full = group.of(Tier.FULL)
     group.stop(full)
     for instance in group.of(Tier.PARTIAL):
@@ -295,30 +290,30 @@
     assert group.owner in full
 
 
-def test_an_overloaded_owner_does_not_leave_amid_a_takeover(group):
-    """What it meets then is the takeover's load, not the cell's."""
+def test_overloaded_owner_stays_during_takeover(group):
+    """The load of a takeover says nothing about the cell's load."""
     group.run(5_000)
     first = group.owner
     first.owners[0].is_serving = False
     overload(first)
     group.run(10_000)
     assert group.owner is first
-    assert not first.metrics.counts  # nothing is begun and given up either
+    assert not first.metrics.counts  # no handover begins
 
 
-def test_an_instance_that_cools_down_and_stops_does_not_join(group):
+def test_stopping_instance_does_not_join_after_cooldown(group):
     group.run(5_000)
     first = group.owner
     overload(first)
     group.run(3_000)
     assert first not in group.members
-    first.is_stopping = True  # the operator's answer to the overload
+    first.is_stopping = True
     group.run(8_000)
     assert first not in group.members
 
 
-def test_a_leave_that_is_not_carried_out_costs_the_time_of_a_membership(group):
-    """The store deals it the cell until its membership has lapsed; no join is sent."""
+def test_lost_leave_takes_effect_when_membership_expires(group):
+    """The group assigns the cell to this instance until then; no join is sent."""
     group.run(5_000)
     first = group.owner
     first.membership.loses_leaves = True
@@ -329,8 +324,8 @@
     assert not first.owners and not first.membership.in_group
 
 
-def test_a_join_that_is_under_way_is_waited_for_and_not_for_ever(group):
-    """Carried out after the leave it would have the cell dealt to who left it."""
+def test_handover_waits_for_pending_join_up_to_timeout(group):
+    """A join carried out after the leave would assign the cell here again."""
     group.run(5_000)
     first = group.owner
     first.membership.has_pending_join = True
@@ -342,7 +337,7 @@
     assert group.owner is not first
 
 
-def test_a_join_that_is_answered_lets_a_handover_go_on(group):
+def test_handover_continues_when_join_is_answered(group):
     group.run(5_000)
     first = group.owner
     first.membership.has_pending_join = True
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
@@ -1,7 +1,7 @@
-"""Owners that are overloaded by one cause, and one member that could take a cell.
+"""Tests of the handover policy with overloaded owners and one possible successor.
 
-The load is a burst of callers for all cells at once. Each owner reads the same: who
-leaves has its cell dealt evenly, so two that leave for one member burden it with both.
+All owners are overloaded at once and see the same statuses, but only one may leave for
+the successor.
 """
 
 import pytest
@@ -15,7 +15,7 @@
 )
 
 STEP_MS = 100
-# A heartbeat, and a takeover of the cell by who is dealt it.
+# A heartbeat, and the takeover of the cell by its next owner.
 OWNERSHIP_REPORT_DELAY_MS = 1_000
 
 
@@ -47,7 +47,7 @@
 
 
 def leave_times(loads):
-    """Return when each of two owners leaves; each hears the other's last beat."""
+    """Return when each of two owners leaves; each sees the other's last heartbeat."""
     rules = [HandoverPolicy(tier=Tier.FULL, address=name) for name in "ab"]
     left_ms = [None, None]
     for now_ms in range(0, 10_000, STEP_MS):
@@ -56,7 +56,7 @@
             other = 1 - n
             other_left = left_ms[other] is not None and left_ms[other] < heartbeat_ms
             statuses = [
-                status("c", heard_ms=heartbeat_ms),  # its takeover goes on and on
+                status("c", heard_ms=heartbeat_ms),  # its takeover never ends
                 status(
                     "ab"[other],
                     cell=None if other_left else other,
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize(
     "loads, first", [((1.5, 1.5), 0), ((1.2, 1.5), 1), ((1.5, 1.2), 0)]
 )
-def test_only_the_first_of_two_overloaded_owners_leaves_for_one_member(loads, first):
+def test_only_one_of_two_overloaded_owners_leaves(loads, first):
     left_ms = leave_times(loads)
     assert left_ms[first] is not None
     assert left_ms[1 - first] is None
@@ -90,12 +90,12 @@
     return None
 
 
-def test_nobody_leaves_while_another_cell_is_on_its_way():
+def test_owner_stays_while_another_cell_has_no_owner():
     local = local_status(0, value=1.5)
     assert eventual_reason(local, lambda now: [status("c", heard_ms=now)]) is None
 
 
-def test_a_lone_overloaded_owner_leaves_for_who_owns_nothing():
+def test_overloaded_owner_leaves_for_member_without_cells():
     local = local_status(0, value=1.5)
     assert (
         eventual_reason(
@@ -109,8 +109,8 @@
     )
 
 
-def test_a_cell_taken_again_after_a_handover_is_held_for_a_while():
-    """The rule was not asked meanwhile, so what it followed before does not hold."""
+def test_regained_cell_is_kept_for_minimum_time():
+    """State from before the handover must not count."""
     rule = HandoverPolicy(tier=Tier.FULL, address="a")
     local = local_status(0, value=1.5, cells=1)
     now_ms = 0.0
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
@@ -1,4 +1,4 @@
-"""Which instances wait with their join until the owner has joined."""
+"""Tests of instances that defer their join until the owner has joined."""
 
 from types import SimpleNamespace
 
@@ -25,26 +25,26 @@
     return daemon
 
 
-def test_an_instance_waits_for_an_owner_that_waits_for_the_store(daemon, timers):
+def test_member_waits_for_owner_without_store(daemon, timers):
     assert JoinDeferral(daemon=daemon).must_wait()
 
 
-def test_an_instance_joins_once_the_owner_has(daemon, timers):
+def test_member_joins_after_owner(daemon, timers):
     daemon.without.clear()
     assert not JoinDeferral(daemon=daemon).must_wait()
 
 
-def test_an_owner_does_not_wait(daemon, timers):
+def test_owner_does_not_wait(daemon, timers):
     daemon.owners = {0: object()}
     assert not JoinDeferral(daemon=daemon).must_wait()
 
 
-def test_nobody_waits_for_an_owner_that_is_not_heard(daemon, timers):
+def test_no_wait_for_owner_without_heartbeats(daemon, timers):
     daemon.readiness.hears_all_owners = False
     assert not JoinDeferral(daemon=daemon).must_wait()
 
 
-def test_nobody_waits_long_for_an_owner_that_is_cut_off_by_itself(daemon, timers):
+def test_wait_for_owner_without_store_is_bounded(daemon, timers):
     first = JoinDeferral(daemon=daemon)
     daemon.store_readable_since_ms = timers.now_ms
     timers.run(300)
@@ -54,14 +54,10 @@
 
 
 class NewInstance:
-    """An instance that was started in an outage, or without one.
-
-    The story, from the large deployment's day scale-2: an instance was started while
-    the store was silent. It knew no owner to wait for, so its join was the first one
-    answered, and the cell was dealt to it. The owner, which had come through the whole
-    outage, lost it with all that it had heard. In the logs of four plays
-    `takeover_begins` comes right after the outage in two, each time from an instance
-    that was `started` in it.
+    """An instance started during a store outage, or without one.
+
+    Its join must not be carried out before the owner's: it would be assigned the cell,
+    and the run ends that the owner received in the outage would be lost.
     """
 
     def __init__(self, daemon, timers):
@@ -84,14 +80,14 @@
     return NewInstance(daemon, timers)
 
 
-def test_a_newcomer_sends_no_join_while_the_store_is_away(new_instance, timers):
-    """A join without an answer may be carried out on the store's return."""
+def test_new_instance_does_not_join_while_store_is_unavailable(new_instance, timers):
+    """The store may carry out an unanswered join once it is available again."""
     for _ in range(100):
         assert new_instance.must_wait()
         timers.run(50)
 
 
-def test_a_newcomer_joins_after_the_owner_had_time_to(new_instance, timers):
+def test_new_instance_joins_after_owners_join_timeout(new_instance, timers):
     assert new_instance.must_wait()
     timers.run(2_000)
     new_instance.answer_read()
@@ -101,16 +97,14 @@
     assert not new_instance.must_wait()
 
 
-def test_a_newcomer_that_is_answered_at_once_does_not_wait(new_instance, timers):
+def test_new_instance_does_not_wait_without_outage(new_instance, timers):
     assert new_instance.must_wait()
     timers.run(10)
     new_instance.answer_read()
     assert not new_instance.must_wait()
 
 
-def test_one_that_steps_in_later_while_the_store_answers_does_not_wait(
-    new_instance, timers
-):
+def test_standby_does_not_wait_while_store_is_available(new_instance, timers):
     new_instance.answer_read()
     timers.run(5_000)
     assert not new_instance.must_wait()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
@@ -1,4 +1,4 @@
-"""What an owner has learned of its machines reaches whoever owns the cell next."""
+"""Tests of announcing learned machine speeds to possible next owners."""
 
 from types import SimpleNamespace
 
@@ -33,12 +33,12 @@
 
 
 def roundtrip(speeds):
-    """Return what a peer reads of a heartbeat that carries speeds."""
+    """Return the speeds of a heartbeat after encoding and decoding it."""
     heartbeat = Heartbeat(owned=[], config_version=1, leaving=False, speeds=speeds)
     return decode(encode(heartbeat), peer="edge-1").speeds
 
 
-def test_what_one_instance_tells_another_keeps(now, daemon):
+def test_announced_speeds_are_kept_by_receiver(now, daemon):
     local = LearnedSpeeds(daemon=daemon)
     local.announce(CELL, 3, [speed("m1", 0.357), speed("m2", -0.531)])
     remote = LearnedSpeeds(daemon=daemon)
@@ -49,14 +49,14 @@
     assert remote.of(CELL + 1) == []
 
 
-def test_news_is_told_once(now, daemon):
+def test_speeds_are_announced_once(now, daemon):
     local = LearnedSpeeds(daemon=daemon)
     local.announce(CELL, 3, [speed("m1", 0.357)])
     assert local.take_unannounced()
     assert local.take_unannounced() is None
 
 
-def test_an_owner_keeps_its_own_beside_the_word_of_an_earlier_one(now, daemon):
+def test_owner_ignores_speeds_of_earlier_epoch(now, daemon):
     local = LearnedSpeeds(daemon=daemon)
     local.announce(CELL, 3, [speed("m1", 0.4)])
     remote = LearnedSpeeds(daemon=SimpleNamespace(**vars(daemon)))
@@ -67,7 +67,7 @@
 
 
 class SimulatedOwner:
-    """Learn nothing new for as long as it serves, and tell a member what it knows."""
+    """Announce unchanged speeds to receivers for as long as it serves."""
 
     def __init__(self, clock, *, machines=12):
         self._clock = clock
@@ -105,20 +105,20 @@
 @pytest.mark.parametrize(
     "after_ms", [RETENTION_MS - 1_000.0, RETENTION_MS + 60_000.0, 3e6]
 )
-def test_an_heir_knows_speeds_that_have_not_changed_for_long(now, daemon, after_ms):
+def test_receiver_keeps_speeds_that_have_not_changed(now, daemon, after_ms):
     receiver = LearnedSpeeds(daemon=daemon)
     SimulatedOwner(now).serve(after_ms, [receiver])
     assert len(receiver.of(CELL)) == 12
 
 
-def test_a_member_that_comes_after_the_first_telling_hears_of_all(now, daemon):
+def test_speeds_are_announced_again_to_later_members(now, daemon):
     owner, receiver = SimulatedOwner(now), LearnedSpeeds(daemon=daemon)
     owner.serve(20_000.0, [])
     owner.serve(130_000.0, [receiver])
     assert len(receiver.of(CELL)) == 12
 
 
-def test_a_member_that_comes_is_told_all_of_the_cells_owned_here(now, daemon):
+def test_new_member_is_sent_speeds_of_owned_cells(now, daemon):
     local = LearnedSpeeds(daemon=daemon)
     assert local.of_owned_cells() is None
     local.announce(CELL, 3, [speed("m1", 0.357)])
@@ -130,30 +130,30 @@
 
 
 @pytest.mark.parametrize("announced_milli", [2**31 - 1, -(2**31)])
-def test_a_figure_beyond_all_sense_is_bounded(now, daemon, announced_milli):
-    """A takeover that fails by it would fail on each member that heard it."""
+def test_implausible_speed_is_clamped(now, daemon, announced_milli):
+    """It would make the takeover fail on each member that received it."""
     rows = [MachineSpeed(machine="m1", log_slowness_milli=announced_milli)]
     local = LearnedSpeeds(daemon=daemon)
     local.on_message(SpeedsLearned(cell=CELL, epoch=3, speeds=rows))
     assert abs(local.of(CELL)[0].log_slowness) <= 3.0
 
 
-def test_what_is_old_is_forgotten(now, daemon):
+def test_old_speeds_expire(now, daemon):
     local = LearnedSpeeds(daemon=daemon)
     local.announce(CELL, 3, [speed("m1", 0.4)])
     now.ms += RETENTION_MS + 1.0
     assert local.of(CELL) == []
 
 
-def test_told_speeds_that_are_kept_are_bounded(now, daemon, monkeypatch):
-    monkeypatch.setattr(module, "MOST_KEPT", 3)
+def test_number_of_kept_speeds_is_bounded(now, daemon, monkeypatch):
+    monkeypatch.setattr(module, "MAX_SPEEDS_PER_CELL", 3)
     local = LearnedSpeeds(daemon=daemon)
     local.announce(CELL, 3, [speed(f"m{number}", 0.4) for number in range(5)])
     assert [row.machine for row in local.of(CELL)] == ["m2", "m3", "m4"]
 
 
-def test_a_heartbeat_without_news_is_as_before(now, daemon):
-    """An instance from before reads the rest of a heartbeat that tells speeds."""
+def test_heartbeat_is_compatible_without_speeds(now, daemon):
+    """Older versions read the rest of a heartbeat that carries speeds."""
     owned = [OwnedCell(cell=0, epoch=1)]
     without = Heartbeat(owned=owned, config_version=1, leaving=False)
     local = LearnedSpeeds(daemon=daemon)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_capacity.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_capacity.py
@@ -1,6 +1,6 @@
-"""How well instances can own cells, by their settings.
+"""Tests of instances' tiers by their settings.
 
-The load is a cell of 200 workers in a burst: 0.8 of a core, 12 Mbit/s and 140 MB.
+A cell of 200 workers needs 0.8 cores, 12 Mbit/s and 140 MB at its peak.
 """
 
 import pytest
@@ -26,34 +26,34 @@
         ({"cores": 0.4, "link_mbps": 5.0}, Tier.LEAST, ("processor", "link")),
     ],
 )
-def test_the_scarcest_part_decides(has, tier, lacks):
+def test_scarcest_resource_decides_tier(has, tier, lacks):
     assert capacity(**has).tier is tier
     assert capacity(**has).lacks == lacks
 
 
 @pytest.mark.parametrize("cores, tier", [(0.79, Tier.LEAST), (0.8, Tier.FULL)])
 @pytest.mark.parametrize("unknown", [{}, {"link_mbps": 0.0, "memory_mb": 0.0}])
-def test_by_processor_alone_instances_part_where_they_always_did(cores, tier, unknown):
+def test_tier_by_cores_alone(cores, tier, unknown):
     assert capacity(cores=cores, **unknown).tier is tier
 
 
-def test_what_is_not_known_counts_as_enough():
+def test_unknown_resources_count_as_sufficient():
     nothing = capacity(cores=0.0, link_mbps=0.0, memory_mb=0.0)
     assert nothing.tier is Tier.FULL
 
 
-def test_instances_that_are_alike_in_links_keep_their_order_by_processor():
-    """Where no link holds the peaks, those with the processor still go first."""
+def test_cores_rank_instances_with_equal_links():
+    """If no link suffices, instances with enough cores still rank higher."""
     assert capacity(cores=1.3, link_mbps=5.0).tier > (
         capacity(cores=0.4, link_mbps=5.0).tier
     )
 
 
-def test_a_smaller_cell_asks_less():
+def test_smaller_cell_needs_less():
     assert capacity(link_mbps=5.0, workers=24).tier is Tier.FULL
     assert capacity(link_mbps=5.0, workers=176).tier is Tier.PARTIAL
 
 
 @pytest.mark.parametrize("number", [None, 0, 4, -1])
-def test_a_tier_that_is_not_known_is_none(number):
+def test_unknown_tier_number_is_none(number):
     assert Tier.from_number(number) is None
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_load.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_load.py
@@ -1,8 +1,4 @@
-"""An owner that can't follow notices it and puts off what can wait, in order.
-
-The load is an owner whose turns begin ever later: 200 ms late, the shortest objective
-of a quarter of a second can't be kept whatever is decided.
-"""
+"""Tests of overload detection and load shedding, mostly by cycles that begin late."""
 
 import pytest
 
@@ -12,7 +8,7 @@
 
 
 class SimulatedOwner:
-    """Take turns for a while, with what they meet."""
+    """Record cycles and appends with given measurements."""
 
     def __init__(self, *, link_mbps=0.0):
         self.now_ms = 1_000.0
@@ -40,12 +36,12 @@
     return owner
 
 
-def test_a_usual_load_puts_nothing_off(owner):
+def test_normal_load_sheds_nothing(owner):
     assert set(owner.run(10_000, lag_ms=10.0, busy=0.4, append_ms=20.0)) == {()}
     assert not owner.load.is_overloaded
 
 
-def test_what_matters_least_is_put_off_first_and_taken_up_last(owner):
+def test_work_is_shed_in_order_and_resumed_in_reverse(owner):
     rising = owner.run(5_000, lag_ms=250.0)
     order = list(dict.fromkeys(rising))
     assert order == [(), *(tuple(SheddableWork)[:n] for n in (1, 2, 3))]
@@ -67,23 +63,23 @@
         {"queued": 150_000},  # 240 ms of the link
     ],
 )
-def test_each_of_lag_processor_appends_and_queues_overloads_an_owner(sight):
+def test_each_measurement_alone_overloads_owner(sight):
     owner = SimulatedOwner(link_mbps=5.0)
     owner.run(8_000, **sight)
     assert owner.load.is_overloaded
 
 
-def test_a_single_burst_is_no_overload(owner):
+def test_short_burst_is_no_overload(owner):
     owner.run(200, lag_ms=300.0, busy=1.0)
     assert not owner.load.is_overloaded
 
 
-def test_a_store_that_is_slow_for_all_is_not_the_owner_s_doing(owner):
+def test_slow_store_is_no_overload(owner):
     owner.run(10_000, append_ms=600.0, join_ms=300.0)
     assert not owner.load_shedder.kinds
 
 
-def test_a_load_about_the_threshold_changes_nothing_to_and_fro(owner):
+def test_load_near_threshold_does_not_toggle_shedding(owner):
     owner.run(5_000, lag_ms=150.0)
     assert owner.load_shedder.kinds == [
         SheddableWork.LOG_LINES,
@@ -94,13 +90,13 @@
         assert set(seen) == {(SheddableWork.LOG_LINES, SheddableWork.IDLE_LOOKS)}
 
 
-def test_where_nothing_is_owned_any_more_the_load_is_gone(owner):
+def test_reset_clears_load(owner):
     owner.run(5_000, lag_ms=300.0)
     owner.load.reset()
     assert not owner.load.percent and not owner.load.is_overloaded
 
 
-def test_a_pause_of_the_process_alone_is_no_overload(owner):
+def test_process_pause_is_no_overload(owner):
     owner.now_ms += 4_000.0
     owner.run(100, lag_ms=4_000.0)
     assert not owner.load.is_overloaded
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
@@ -1,4 +1,4 @@
-"""What an owner answers of itself while the store is away."""
+"""Tests of an owner's replies while the store is unavailable."""
 
 from types import SimpleNamespace
 
@@ -14,7 +14,7 @@
 
 
 class FakeIntake:
-    """Know one job and have seen two; record what is asked."""
+    """Store one job, have a second in flight, and record requests."""
 
     def __init__(self):
         self.asked = []
@@ -45,7 +45,7 @@
         ownership=SimpleNamespace(is_certain=lambda: is_certain),
         pipeline=SimpleNamespace(is_store_unavailable=pump_says_away),
         metrics=metrics,
-        timers=None,  # where nothing is told of a caller's patience, none is needed
+        timers=None,  # needed only with a caller's timeout
         apply_effects=lambda: None,
     )
     handler.handle(kind, "q", job_id, b"", replies.append)
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("job_id", [STORED, ON_ITS_WAY, NEW])
 @pytest.mark.parametrize("kind", ["read", "submit", "cancel"])
-def test_all_is_decided_while_the_store_answers(kind, job_id):
+def test_all_requests_are_handled_while_store_is_available(kind, job_id):
     asked, counts, replies = handle(kind, job_id)
     assert asked == [(kind, job_id)]
     assert not counts and not replies
@@ -76,7 +76,9 @@
         ("cancel", NEW, False),
     ],
 )
-def test_without_the_store_only_what_is_known_is_decided(kind, job_id, decided, away):
+def test_only_known_jobs_are_handled_while_store_is_unavailable(
+    kind, job_id, decided, away
+):
     asked, counts, replies = handle(kind, job_id, **away)
     assert asked == ([(kind, job_id)] if decided else [])
     if not decided:
@@ -85,6 +87,6 @@
         assert replies[0].retry_after_ms > 0
 
 
-def test_a_queue_is_counted_without_the_store():
+def test_queue_is_counted_while_store_is_unavailable():
     asked, _, _ = handle("count", "", pump_says_away=True)
     assert asked == [("count", "q")]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_scheduling_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_scheduling_loop.py
@@ -1,4 +1,4 @@
-"""Turns of a cell: events come together, records wait for others, effects run."""
+"""Tests of scheduling cycles: batching of events and records, and effects."""
 
 from types import SimpleNamespace
 
@@ -92,7 +92,7 @@
     )
 
 
-def test_events_that_come_together_share_a_turn(harness, timers):
+def test_events_close_together_share_a_cycle(harness, timers):
     harness.cell.effects = ["first"]
     harness.loop.apply_effects()
     timers.run(CYCLE_DELAY_MS / 2)
@@ -106,14 +106,14 @@
     assert len(harness.cell.turns_ms) == 2
 
 
-def test_without_events_the_next_turn_comes_when_the_cell_wants_it(harness, timers):
+def test_next_cycle_runs_when_due_without_events(harness, timers):
     timers.run(FAR_FUTURE_MS - 1)
     assert len(harness.cell.turns_ms) == 1
     timers.run(1)
     assert len(harness.cell.turns_ms) == 2
 
 
-def test_a_turn_that_fails_is_followed_by_another(harness, timers):
+def test_failed_cycle_is_followed_by_another(harness, timers):
     def fail(now_ms):
         harness.cell.run_cycle = FakeCell.run_cycle.__get__(harness.cell)
         raise ArithmeticError
@@ -126,7 +126,7 @@
     assert len(harness.cell.turns_ms) >= 2
 
 
-def test_records_that_nobody_waits_for_wait_for_others(harness, timers):
+def test_non_urgent_records_linger(harness, timers):
     harness.cell.journal.waiting = ["an end"]
     harness.loop.apply_effects()
     timers.run(CYCLE_DELAY_MS + LINGER_MS - 1)
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("reason", ["is_urgent", "store_is_away"])
-def test_other_records_are_stored_at_the_next_turn(harness, timers, reason):
+def test_urgent_records_are_stored_in_next_cycle(harness, timers, reason):
     harness.cell.journal.waiting = ["a job"]
     harness.cell.journal.is_urgent = reason == "is_urgent"
     harness.pipeline.is_store_unavailable = reason == "store_is_away"
@@ -153,7 +153,7 @@
     assert not harness.pipeline.sent
 
 
-def test_a_batch_leaves_beside_another_as_soon_as_the_pump_takes_it(harness, timers):
+def test_overlapping_batch_is_sent_when_pipeline_allows(harness, timers):
     harness.pipeline.next_send_ms = timers.now_ms + 80.0
     harness.cell.journal.waiting, harness.cell.journal.is_urgent = ["a job"], True
     harness.loop.apply_effects()
@@ -163,9 +163,7 @@
     assert len(harness.pipeline.sent) == 1
 
 
-def test_batches_that_come_back_together_are_followed_by_one_after_a_while(
-    harness, timers
-):
+def test_returned_batches_are_followed_by_one_after_delay(harness, timers):
     for effect in ("first", "second"):
         harness.cell.journal.waiting, harness.cell.journal.is_urgent = [effect], True
         harness.loop.apply_effects()
@@ -184,7 +182,7 @@
     assert len(harness.pipeline.sent) == 3
 
 
-def test_what_follows_an_append_happens_once_it_is_stored(harness, timers):
+def test_effects_of_batch_are_executed_after_it_is_stored(harness, timers):
     harness.cell.journal.waiting, harness.cell.journal.is_urgent = ["a reply"], True
     harness.loop.apply_effects()
     timers.run(CYCLE_DELAY_MS)
@@ -194,7 +192,7 @@
     assert harness.cell.stored == [batch] and harness.performed == ["a reply"]
 
 
-def test_after_an_append_that_was_turned_away_the_next_one_waits(harness, timers):
+def test_next_append_waits_after_rejected_one(harness, timers):
     harness.cell.journal.waiting, harness.cell.journal.is_urgent = ["a job"], True
     harness.loop.apply_effects()
     timers.run(CYCLE_DELAY_MS)
@@ -209,7 +207,7 @@
     assert len(harness.pipeline.sent) == 2 and not harness.pipeline.cleared
 
 
-def test_the_next_request_finds_out_whether_the_store_is_back(harness, timers):
+def test_failure_is_reset_after_retry_delay(harness, timers):
     harness.cell.journal.waiting, harness.cell.journal.is_urgent = ["a job"], True
     harness.loop.apply_effects()
     timers.run(CYCLE_DELAY_MS)
@@ -220,13 +218,13 @@
 
 
 @pytest.mark.parametrize("renewed", [True, False])
-def test_the_cell_knows_whether_the_store_is_away(harness, timers, renewed):
+def test_cell_is_told_whether_store_is_unavailable(harness, timers, renewed):
     harness.ownership.is_renewed = lambda: renewed
     harness.loop.run_cycle()
     assert harness.cell.context.is_store_unavailable is not renewed
 
 
-def test_an_ended_loop_takes_no_turn_and_performs_nothing(harness, timers):
+def test_ended_loop_runs_no_cycle_and_executes_nothing(harness, timers):
     harness.cell.journal.waiting, harness.cell.journal.is_urgent = ["a job"], True
     harness.cell.effects = ["an order"]
     harness.loop.end()
@@ -237,8 +235,7 @@
     assert not harness.pipeline.sent and not harness.performed
 
 
-def test_late_and_long_turns_are_told_and_what_waits_is_put_off(timers):
-    """A turn that is 300 ms late and takes 50 is the owner's to see."""
+def test_cycle_lag_and_duration_are_recorded_and_work_is_shed(timers):
     load = OwnerLoad(link_mbps=0.0)
     seen = []
     load.record_cycle = lambda **span: seen.append(span)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_takeover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Taking a cell over: no epoch is shared."""
+"""Tests of takeovers: no two owners share an epoch."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 class PartitionStore:
-    """Answer from one partition of the soak's stand-in."""
+    """Answer from one partition of the store's stand-in."""
 
     def __init__(self):
         self.partition = Partition()
@@ -55,17 +55,16 @@
     return outcome[0]
 
 
-def test_a_takeover_reads_what_is_stored(store):
+def test_takeover_reads_stored_records(store):
     store.partition.put("jaa", b"job")
     assert take_over(store, 3)["jaa"] == b"job"
 
 
-def test_a_lower_epoch_is_refused(store):
+def test_lower_epoch_is_fenced(store):
     take_over(store, 3)
     assert take_over(store, 2) == "fenced"
 
 
-def test_the_epoch_of_another_owner_is_refused(store):
-    # Seen in the soak (seed 1006).
+def test_same_epoch_of_another_owner_is_fenced(store):
     take_over(store, 3)
     assert take_over(store, 3) == "fenced"
