--- a/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
@@ -22,7 +22,7 @@
 # A request that an owner may have taken is in doubt, and its caller can't safely send
 # it again. It waits for the successor, which serves 0.7 s after a loss of power and at
 # most 1.5 s after it, where the membership has to lapse.
-FIND_SUCCESSOR_MS = 1_600.0
+FIND_NEXT_OWNER_MS = 1_600.0
 # The own cells are looked at this often for requests that another ownership had: a
 # twentieth of the shortest objective. Other owners' words come every 100 to 250 ms.
 OWN_CELLS_MS = 100.0
@@ -255,7 +255,7 @@
     def _find_until(self, pending):
         """Return until when the owner that follows a lost one is looked for."""
         if pending.kind in ("submit", "cancel"):
-            find_ms = FIND_SUCCESSOR_MS
+            find_ms = FIND_NEXT_OWNER_MS
         else:
             find_ms = FIND_OWNER_MS
         return min(pending.deadline_ms, steady_ms() + find_ms)
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -23,7 +23,7 @@
 # A member of the group keeps links to this many others beside the owner. Without them
 # it hears nobody but the owner and can't tell its silence from a cut of its own. Who is
 # no member judges nobody, and keeps none.
-NEIGHBOURS = 3
+NEIGHBOUR_LINKS = 3
 # While too few members are known, the group is read this often: a newcomer may have
 # read it before the others had joined.
 FIND_NEIGHBOURS_MS = 2_000.0
@@ -122,13 +122,13 @@
         """Keep links to a few members, drawn by hash, so that they differ."""
         own = self._daemon.settings.peer
         others = self._daemon.directory.members - {own}
-        if len(others) < NEIGHBOURS and steady_ms() >= self._neighbours_due_ms:
+        if len(others) < NEIGHBOUR_LINKS and steady_ms() >= self._neighbours_due_ms:
             self._neighbours_due_ms = steady_ms() + FIND_NEIGHBOURS_MS
             self._daemon.directory.refresh()
         ranked = sorted(
             others, key=lambda other: xxhash.xxh32_intdigest(f"{own}|{other}".encode())
         )
-        for address in ranked[:NEIGHBOURS]:
+        for address in ranked[:NEIGHBOUR_LINKS]:
             self._daemon.links.to(address)
 
     def on_message(self, link, message):
