--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
@@ -81,8 +81,8 @@
         A failed call may lead to new ones, which must not be sent over a broken link; a
         link that breaks then calls this method again.
         """
-        gone = [self._proxies.pop(name) for name in sorted(names)]
-        for proxy in gone:
+        removed = [self._proxies.pop(name) for name in sorted(names)]
+        for proxy in removed:
             self._fail(proxy)
 
     def end(self):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
@@ -170,9 +170,9 @@
     dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for name in "abcde":  # one per instance, and one that waits
         dispatcher.ask(advice_call(name, cost_ms=100.0))
-    newcomer = FakeLink("edge-3")
-    newcomer.send = lambda message: dispatcher.update([])
-    dispatcher.update([*links[1:], newcomer])
+    new_link = FakeLink("edge-3")
+    new_link.send = lambda message: dispatcher.update([])
+    dispatcher.update([*links[1:], new_link])
     assert sorted(answered) == ["b", "c", "d", "e"]  # the local instance handles a
 
 
@@ -286,20 +286,23 @@
 
 
 def test_instance_is_notified_once_of_unwanted_call(timers):
-    told = []
+    notified = []
     link = FakeLink("edge-0")
     dispatcher = make_dispatcher(
-        timers, [link], 0.0, notify_withdrawn=lambda link, ids: told.append((link, ids))
+        timers,
+        [link],
+        0.0,
+        notify_withdrawn=lambda link, ids: notified.append((link, ids)),
     )
     call, stays = advice_call("leaves"), advice_call("stays")
     dispatcher.ask(call)
     dispatcher.ask(stays)
     dispatcher.current_slots()
-    assert not told
+    assert not notified
     end_job(call)
     for _ in range(3):
         dispatcher.current_slots()
-    assert told == [(link, [link.sent[0].call_id])]
+    assert notified == [(link, [link.sent[0].call_id])]
     reply = reply_to(link.sent[0])
     reply.answered = False
     dispatcher.on_reply(reply)
@@ -319,17 +322,17 @@
 
 def test_link_breaking_during_withdrawal_is_handled(timers):
     links = [FakeLink("edge-0"), FakeLink("edge-1")]
-    told = []
+    notified = []
 
-    def tell(link, call_ids):
-        told.append(call_ids)
+    def notify(link, call_ids):
+        notified.append(call_ids)
         dispatcher.update([])
 
-    dispatcher = make_dispatcher(timers, links, 0.0, notify_withdrawn=tell)
+    dispatcher = make_dispatcher(timers, links, 0.0, notify_withdrawn=notify)
     calls = [advice_call(f"s{n}", cost_ms=100.0) for n in range(3)]
     for call in calls:
         dispatcher.ask(call)
     for call in calls:
         end_job(call)
     assert dispatcher.current_slots().any_call == 0  # the local instance is still busy
-    assert len(told) == 1
+    assert len(notified) == 1
