--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
@@ -58,7 +58,7 @@
     return dispatcher
 
 
-def long_call(name="s", cost_ms=900.0):
+def advice_call(name="s", cost_ms=900.0):
     step = SimpleNamespace(name=name, job=SimpleNamespace(is_live=True))
     return RequestAdvice(step=step, worker_ids=("w",), cost_ms=cost_ms, priority=1)
 
@@ -81,15 +81,15 @@
     for start_fraction in (0.0, 0.5):
         dispatcher = make_dispatcher(timers, links, start_fraction)
         for _ in range(4):
-            dispatcher.ask(long_call())
+            dispatcher.ask(advice_call())
     assert max(len(link.sent) for link in links) == 1
 
 
 def test_call_timeout_allows_for_another_owners_call(timers):
     links = [FakeLink("edge-0")]
     dispatcher = make_dispatcher(timers, links, 0.0)
-    dispatcher.ask(long_call())
-    dispatcher.ask(long_call())
+    dispatcher.ask(advice_call())
+    dispatcher.ask(advice_call())
     timers.run(2 * 900)  # two calls, one after the other
     assert len(links[0].sent) == 1
 
@@ -99,14 +99,14 @@
     links = [FakeLink(name) for name in NAMES]
     dispatcher = make_dispatcher(timers, links, 0.0)
     for _ in range(20):
-        dispatcher.ask(long_call())
+        dispatcher.ask(advice_call())
     step = SimpleNamespace(name="late", job=SimpleNamespace(is_live=True))
     dispatcher.ask(
         RequestAdvice(step=step, worker_ids=("w",), cost_ms=900.0, priority=2)
     )
     for _ in range(12):
         timers.run(250)
-        dispatcher.ask(long_call())
+        dispatcher.ask(advice_call())
         for link in links:
             if link.sent:
                 reply = SimpleNamespace(
@@ -116,7 +116,7 @@
                     valid_ms=2_000,
                 )
                 dispatcher.on_reply(reply)
-                dispatcher.ask(long_call())
+                dispatcher.ask(advice_call())
     asked = [message.step for link in links for message in link.sent]
     assert "late" in asked
 
@@ -130,7 +130,7 @@
         for name, steps in taken.items()
     }
     for name, dispatcher in owners.items():
-        dispatcher.ask(long_call(f"step-of-{name}"))
+        dispatcher.ask(advice_call(f"step-of-{name}"))
     first, _ = link.sent
     for dispatcher in owners.values():
         dispatcher.on_reply(reply_to(first))
@@ -141,11 +141,11 @@
     """Call ids must not start over when a cell is lost and regained."""
     link, answers = FakeLink("edge-0"), []
     former = make_dispatcher(timers, [link], 0.0, instance="edge-9")
-    former.ask(long_call("former"))
+    former.ask(advice_call("former"))
     following = make_dispatcher(
         timers, [link], 0.0, lambda *row: answers.append(row), "edge-9"
     )
-    following.ask(long_call("following"))
+    following.ask(advice_call("following"))
     following.on_reply(reply_to(link.sent[0]))
     assert not answers
 
@@ -156,7 +156,7 @@
     answered = []
     dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for name in "abc":  # two of four instances take long calls
-        dispatcher.ask(long_call(name))
+        dispatcher.ask(advice_call(name))
     links[0].sent.clear()
     dispatcher.update(links[1:])
     assert answered == ["a"]
@@ -169,7 +169,7 @@
     answered = []
     dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for name in "abcde":  # one per instance, and one that waits
-        dispatcher.ask(long_call(name, cost_ms=100.0))
+        dispatcher.ask(advice_call(name, cost_ms=100.0))
     new_link = FakeLink("edge-3")
     new_link.send = lambda message: dispatcher.update([])
     dispatcher.update([*links[1:], new_link])
@@ -182,9 +182,9 @@
     client = FakeAdviceClient()
     dispatcher = make_dispatcher(timers, links, 0.25, client=client)
     for name in ("long-1", "long-2", "long-3"):  # edge-1 and edge-2 take long calls
-        dispatcher.ask(long_call(name))
+        dispatcher.ask(advice_call(name))
     links[0].send = lambda message: dispatcher.update([])
-    dispatcher.ask(long_call("short", cost_ms=100.0))
+    dispatcher.ask(advice_call("short", cost_ms=100.0))
     assert client.asked == ["long-3"]
 
 
@@ -194,12 +194,12 @@
     answered = []
     dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for number in range(7):  # one per instance that takes long calls
-        dispatcher.ask(long_call(f"s{number}"))
+        dispatcher.ask(advice_call(f"s{number}"))
     timers.run(3_500)  # none is answered; all are paused
     assert len(answered) == 7
     for link in links:
         link.sent.clear()
-    dispatcher.ask(long_call("again"))
+    dispatcher.ask(advice_call("again"))
     assert not any(link.sent for link in links)
     timers.run(1_500)
     assert [row.step for link in links for row in link.sent] == ["again"]
@@ -211,9 +211,9 @@
     client = FakeAdviceClient()
     dispatcher = make_dispatcher(timers, links, 0.25, client=client)
     for name in ("long-1", "long-2", "long-3"):  # edge-1 and edge-2 take long calls
-        dispatcher.ask(long_call(name))
+        dispatcher.ask(advice_call(name))
     links[0].send = lambda message: dispatcher.end()
-    dispatcher.ask(long_call("short", cost_ms=100.0))
+    dispatcher.ask(advice_call("short", cost_ms=100.0))
     dispatcher.update([])
     assert not client.asked
 
@@ -222,7 +222,7 @@
     links = [FakeLink(f"edge-{number}") for number in range(9)]
     dispatcher = make_dispatcher(timers, links, 0.0)
     assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (10, 7)
-    dispatcher.ask(long_call())
+    dispatcher.ask(advice_call())
     assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (9, 6)
     [asked] = [link.sent[0] for link in links if link.sent]
     dispatcher.on_reply(reply_to(asked))
@@ -231,7 +231,7 @@
 
 def test_paused_instance_has_no_slot(timers):
     dispatcher = make_dispatcher(timers, [FakeLink("edge-0")], 0.0)
-    dispatcher.ask(long_call())
+    dispatcher.ask(advice_call())
     timers.run(3_300)  # the call times out
     assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (1, 0)
 
@@ -242,7 +242,7 @@
     dispatcher = make_dispatcher(timers, links, 0.0)
     assert dispatcher.slots.long_call == 14
     timers.run(5_100)
-    dispatcher.ask(long_call())
+    dispatcher.ask(advice_call())
     assert dispatcher.slots.long_call == 18
 
 
@@ -251,7 +251,7 @@
     dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
     for _ in range(2):
-        dispatcher.ask(long_call(cost_ms=60.0))
+        dispatcher.ask(advice_call(cost_ms=60.0))
     assert dispatcher.slots.long_call == 15  # of 20, with 2 * 2 + 1 reserved
 
 
@@ -260,11 +260,11 @@
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
     dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
-    dispatcher.ask(long_call())
+    dispatcher.ask(advice_call())
     assert dispatcher.slots.long_call == 18
     timers.run(100)
     for _ in range(2):
-        dispatcher.ask(long_call(cost_ms=60.0))
+        dispatcher.ask(advice_call(cost_ms=60.0))
     assert dispatcher.slots.long_call == 14  # of 20, 5 are reserved and 1 is busy
 
 
@@ -275,7 +275,7 @@
 
 def test_calls_of_ended_jobs_occupy_no_slot(timers):
     dispatcher = make_dispatcher(timers, [FakeLink("edge-0")], 0.0)
-    calls = [long_call(f"s{number}") for number in range(6)]
+    calls = [advice_call(f"s{number}") for number in range(6)]
     for call in calls:
         dispatcher.ask(call)
     assert dispatcher.slots.any_call == -4  # 1 in flight, 5 waiting
@@ -294,7 +294,7 @@
         0.0,
         notify_withdrawn=lambda link, ids: notified.append((link, ids)),
     )
-    call, stays = long_call("leaves"), long_call("stays")
+    call, stays = advice_call("leaves"), advice_call("stays")
     dispatcher.ask(call)
     dispatcher.ask(stays)
     dispatcher.current_slots()
@@ -312,7 +312,7 @@
 def test_unsent_local_call_becomes_unwanted_when_job_ends(timers):
     client = FakeAdviceClient()
     dispatcher = make_dispatcher(timers, [], 0.0, client=client)
-    call = long_call()
+    call = advice_call()
     dispatcher.ask(call)
     (wanted,) = client.wanted
     assert wanted()
@@ -329,7 +329,7 @@
         dispatcher.update([])
 
     dispatcher = make_dispatcher(timers, links, 0.0, notify_withdrawn=notify)
-    calls = [long_call(f"s{n}", cost_ms=100.0) for n in range(3)]
+    calls = [advice_call(f"s{n}", cost_ms=100.0) for n in range(3)]
     for call in calls:
         dispatcher.ask(call)
     for call in calls:
