--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pipeline.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pipeline.py
@@ -112,7 +112,7 @@
             on_stored=on_stored,
             on_not_stored=on_not_stored,
             started_ms=now_ms,
-            hedge_delay_ms=self._window.patience_ms,
+            hedge_delay_ms=self._window.hedge_delay_ms,
         )
         self._in_flight.append(pending)
         if self._is_head(pending):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -60,14 +60,14 @@
         self._overlapping_count = 0
 
     @property
-    def patience_ms(self):
+    def hedge_delay_ms(self):
         """Return the delay before an unanswered append is hedged."""
         return self._pace.patience_ms
 
     @staticmethod
-    def next_hedge_delay_ms(patience_ms):
+    def next_hedge_delay_ms(hedge_delay_ms):
         """Return the delay before the next hedge."""
-        return min(MAX_HEDGE_DELAY_MS, 2 * patience_ms)
+        return min(MAX_HEDGE_DELAY_MS, 2 * hedge_delay_ms)
 
     def next_send_ms(self, in_flight):
         """Return when another batch may be sent, or None if only after an answer."""
