--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
@@ -165,7 +165,7 @@
     assert len(fast & site.announced_speeds.keys()) >= 6
     if not is_told:
         site.announced_speeds.clear()
-    site.dead = True
+    site.is_owner_down = True
     site.run(500)
     site.take_over()
     assert site.cell.speeds.is_heterogeneous is is_told
@@ -226,7 +226,7 @@
     site.announced_speeds[machine] = LearnedSpeed(
         machine=machine, log_slowness=log(15.0)
     )
-    site.dead = True
+    site.is_owner_down = True
     site.run(500)
     site.take_over()
     site.run(1_500)
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -154,7 +154,8 @@
         """Release the runs whose leases are over on workers that do not answer."""
         for worker in list(self._context.workers.values()):
             silent = (
-                worker.misses_in_row >= MAX_UNANSWERED_POLLS or not worker.entry.host
+                worker.unanswered_in_row >= MAX_UNANSWERED_POLLS
+                or not worker.entry.host
             )
             if worker.runs and silent and now_ms > worker.runs_until_ms:
                 self._expire_runs(worker, now_ms)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
@@ -47,7 +47,7 @@
             return
         now_ms = steady_ms()
         self._owner.metrics.observe("start", now_ms - sent_ms)
-        self._cell.on_start(run, answer, now_ms=now_ms)
+        self._cell.on_start_answer(run, answer, now_ms=now_ms)
         self._owner.apply_effects()
 
     def _still_owned(self, refusal, worker):
@@ -81,7 +81,7 @@
             answer.refusal, worker
         ):
             return
-        self._cell.on_stop(run, answer, now_ms=steady_ms())
+        self._cell.on_stop_answer(run, answer, now_ms=steady_ms())
         self._owner.apply_effects()
 
     @send.register
@@ -99,7 +99,7 @@
         if not self._still_owned(answer.refusal, worker):
             return
         now_ms = steady_ms()
-        self._cell.on_pace(effect.run, effect.percent, answer, now_ms=now_ms)
+        self._cell.on_pace_answer(effect.run, effect.percent, answer, now_ms=now_ms)
         self._owner.apply_effects()
 
     @send.register
