--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
@@ -48,11 +48,11 @@
 
 def leave_times(loads):
     """Return when each of two owners leaves; each sees the other's last heartbeat."""
-    rules = [HandoverPolicy(tier=Tier.FULL, address=name) for name in "ab"]
+    policies = [HandoverPolicy(tier=Tier.FULL, address=name) for name in "ab"]
     left_ms = [None, None]
     for now_ms in range(0, 10_000, STEP_MS):
         heartbeat_ms = float(now_ms // 200 * 200)
-        for n, rule in enumerate(rules):
+        for n, policy in enumerate(policies):
             other = 1 - n
             other_left = left_ms[other] is not None and left_ms[other] < heartbeat_ms
             statuses = [
@@ -65,7 +65,7 @@
                 ),
             ]
             local = local_status(n, value=loads[n])
-            if left_ms[n] is None and rule.reason(
+            if left_ms[n] is None and policy.reason(
                 float(now_ms), local=local, statuses=statuses
             ):
                 left_ms[n] = now_ms
@@ -82,9 +82,9 @@
 
 
 def eventual_reason(local, statuses_at):
-    rule = HandoverPolicy(tier=Tier.FULL, address="a")
+    policy = HandoverPolicy(tier=Tier.FULL, address="a")
     for now_ms in range(0, 10_000, STEP_MS):
-        reason = rule.reason(float(now_ms), local=local, statuses=statuses_at(now_ms))
+        reason = policy.reason(float(now_ms), local=local, statuses=statuses_at(now_ms))
         if reason is not None:
             return reason
     return None
@@ -111,18 +111,18 @@
 
 def test_regained_cell_is_kept_for_minimum_time():
     """State from before the handover must not count."""
-    rule = HandoverPolicy(tier=Tier.FULL, address="a")
+    policy = HandoverPolicy(tier=Tier.FULL, address="a")
     local = local_status(0, value=1.5, cells=1)
     now_ms = 0.0
     while (
-        rule.reason(now_ms, local=local, statuses=[status("b", heard_ms=now_ms)])
+        policy.reason(now_ms, local=local, statuses=[status("b", heard_ms=now_ms)])
         is None
     ):
         now_ms += STEP_MS
-    rule.on_left(now_ms)
-    regained_ms = now_ms = rule.cooldown_until_ms + STEP_MS
+    policy.on_left(now_ms)
+    regained_ms = now_ms = policy.cooldown_until_ms + STEP_MS
     while (
-        rule.reason(now_ms, local=local, statuses=[status("b", heard_ms=now_ms)])
+        policy.reason(now_ms, local=local, statuses=[status("b", heard_ms=now_ms)])
         is None
     ):
         now_ms += STEP_MS
