--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
@@ -17,7 +17,7 @@
 THREE_HALLS = {"hall": lambda number: f"hall-{number % 3}"}
 
 
-def crash_if_running(*tasks, after_ms=10.0):
+def crash_by(*tasks, after_ms=10.0):
     return lambda task: after_ms if task in tasks else None
 
 
@@ -54,7 +54,7 @@
     harness = make_harness(workers=18, **THREE_HALLS)
     bad = [f"{number:016x}" for number in range(1, crashing + 1)]
     good = [f"{number:016x}" for number in range(100, 130)]
-    harness.crashes_after_ms = crash_if_running(*(f"{job}.0.0.0" for job in bad))
+    harness.crashes_after_ms = crash_by(*(f"{job}.0.0.0" for job in bad))
     for number, job in enumerate(good):
         harness.submit(job, job_spec({"count": 6, "cpu_milli": 500}))
         if number < crashing:
@@ -72,7 +72,7 @@
     harness.submit(INNOCENT, job_spec(lasting))
     harness.run(1_000)
     bad = [f"{number:016x}" for number in range(1, 6)]
-    harness.crashes_after_ms = crash_if_running(*(f"{job}.0.0.0" for job in bad))
+    harness.crashes_after_ms = crash_by(*(f"{job}.0.0.0" for job in bad))
     for job in bad:
         harness.submit(job, job_spec({"count": 2, "cpu_milli": 500}))
         harness.run(1_700)
@@ -85,7 +85,7 @@
 
 def test_a_task_that_cost_two_workers_costs_nobody_else_a_third(make_harness):
     harness = make_harness(workers=6, **THREE_HALLS)
-    harness.crashes_after_ms = crash_if_running(FIRST_TASK)
+    harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec({"count": 1, "cpu_milli": 500}))
     for number in range(100, 300):  # no worker is ever empty by itself
         harness.submit(f"{number:016x}", job_spec({"count": 6, "cpu_milli": 900}))
@@ -101,7 +101,7 @@
     set_work_ms(harness, 60_000.0)
     for number in range(100, 104):
         harness.submit(f"{number:016x}", job_spec({"count": 4, "cpu_milli": 1_500}))
-    harness.crashes_after_ms = crash_if_running(FIRST_TASK)
+    harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(4_500)
     busy = [len(crash.tasks) for crash in harness.crashes]
@@ -175,7 +175,7 @@
 def test_a_task_waits_for_word_of_the_third_worker(make_harness):
     harness = make_harness(workers=9, **THREE_HALLS)
     harness.return_delay_ms = 3_700.0  # later than the leases are over
-    harness.crashes_after_ms = crash_if_running(FIRST_TASK)
+    harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(30_000)
     assert len(harness.starts_of(FIRST_TASK)) == 3
@@ -184,7 +184,7 @@
 
 def test_copies_stop_once_two_workers_of_a_task_are_silent(make_harness):
     harness = make_harness(workers=9, **THREE_HALLS)
-    harness.crashes_after_ms = crash_if_running(FIRST_TASK)
+    harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(
         CRASHING, job_spec({"count": 1, "cpu_milli": 500, "speculative": True})
     )
@@ -313,7 +313,7 @@
 
 def test_no_word_is_awaited_of_workers_that_are_known_to_have_crashed(make_harness):
     harness = make_harness(workers=12, **THREE_HALLS)
-    harness.crashes_after_ms = crash_if_running(FIRST_TASK)
+    harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec({"count": 3, "cpu_milli": 500}))
     harness.run(40_000)
     assert harness.job(CRASHING).visible_state is JobState.FAILED
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
@@ -26,7 +26,7 @@
 TOO_MANY_STARTS = 3
 
 
-def crash_if_running(*tasks, after_ms=10.0):
+def crash_by(*tasks, after_ms=10.0):
     """Return what has the named tasks crash their workers."""
     return lambda task: after_ms if task in tasks else None
 
@@ -62,7 +62,7 @@
 ):
     harness = make_harness(workers=12)
     harness.return_delay_ms = return_delay_ms
-    harness.crashes_after_ms = crash_if_running(FIRST_TASK, after_ms=after_ms)
+    harness.crashes_after_ms = crash_by(FIRST_TASK, after_ms=after_ms)
     harness.submit(CRASHING, job_spec(SHAPES[shape]))
     harness.run(60_000)
     assert_given_up(harness, CRASHING, FIRST_TASK)
@@ -74,7 +74,7 @@
     make_harness, shape, owned_ms
 ):
     harness = make_harness(workers=12)
-    harness.crashes_after_ms = crash_if_running(FIRST_TASK)
+    harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec(SHAPES[shape]))
     for _ in range(60_000 // owned_ms):
         harness.run(owned_ms)
@@ -89,7 +89,7 @@
     harness = make_harness(workers=16, hall=lambda number: f"hall-{number % 3}")
     jobs = [f"{number:016x}" for number in range(1, 6)]
     tasks = [f"{job}.0.0.{number}" for number, job in enumerate(jobs)]
-    harness.crashes_after_ms = crash_if_running(*tasks)
+    harness.crashes_after_ms = crash_by(*tasks)
     for number, job in enumerate(jobs):
         shape = {"count": 6, "cpu_milli": 500, "speculative": bool(number % 2)}
         harness.submit(job, job_spec(shape))
@@ -102,7 +102,7 @@
     make_harness,
 ):
     harness = make_harness(workers=12)
-    harness.crashes_after_ms = crash_if_running(FIRST_TASK)
+    harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec(SHAPES["plain"]))
     for _ in range(6):
         harness.run(2_000)
@@ -116,7 +116,7 @@
     make_harness, command_delay_ms
 ):
     harness = make_harness(workers=12)
-    harness.crashes_after_ms = crash_if_running(FIRST_TASK, after_ms=0.0)
+    harness.crashes_after_ms = crash_by(FIRST_TASK, after_ms=0.0)
     harness.is_start_answer_lost = lambda effect: (
         not command_delay_ms
     )  # the start is carried out
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
@@ -9,7 +9,7 @@
 from thymefork_cells.workers.worker_losses import MAX_LOSSES
 
 from .harness import Harness, job_spec
-from .test_crash_isolation import THREE_HALLS, crash_if_running, reachable, set_work_ms
+from .test_crash_isolation import THREE_HALLS, crash_by, reachable, set_work_ms
 
 
 @pytest.mark.parametrize("seed", range(16))
@@ -54,7 +54,7 @@
     bad = [f"{number:016x}" for number in range(1, 5)]
     good = [f"{number:016x}" for number in range(100, 112)]
     lasting = [f"{number:016x}" for number in range(200, 202)]
-    harness.crashes_after_ms = crash_if_running(
+    harness.crashes_after_ms = crash_by(
         *(f"{job}.0.0.0" for job in bad), after_ms=rng.choice((0.0, 10.0, 500.0))
     )
     for job in bad:
