--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
@@ -19,7 +19,7 @@
 OWNERSHIP_REPORT_DELAY_MS = 1_000
 
 
-def status(address, *, cell=None, load_percent=0, heard_ms):
+def status(address, *, cell=None, load_percent=0, received_ms):
     return MemberStatus(
         address=address,
         tier=Tier.FULL,
@@ -29,7 +29,7 @@
         can_own=True,
         owned=frozenset() if cell is None else frozenset({cell}),
         join_ms=6.0,
-        heard_ms=heard_ms,
+        received_ms=received_ms,
         healthy_since_ms=0.0,
     )
 
@@ -56,12 +56,12 @@
             other = 1 - n
             other_left = left_ms[other] is not None and left_ms[other] < heartbeat_ms
             statuses = [
-                status("c", heard_ms=heartbeat_ms),  # its takeover never ends
+                status("c", received_ms=heartbeat_ms),  # its takeover never ends
                 status(
                     "ab"[other],
                     cell=None if other_left else other,
                     load_percent=0 if other_left else round(100 * loads[other]),
-                    heard_ms=heartbeat_ms,
+                    received_ms=heartbeat_ms,
                 ),
             ]
             local = local_status(n, value=loads[n])
@@ -92,7 +92,7 @@
 
 def test_owner_stays_while_another_cell_has_no_owner():
     local = local_status(0, value=1.5)
-    assert eventual_reason(local, lambda now: [status("c", heard_ms=now)]) is None
+    assert eventual_reason(local, lambda now: [status("c", received_ms=now)]) is None
 
 
 def test_overloaded_owner_leaves_for_member_without_cells():
@@ -101,8 +101,8 @@
         eventual_reason(
             local,
             lambda now: [
-                status("b", cell=1, load_percent=40, heard_ms=now),
-                status("c", heard_ms=now),
+                status("b", cell=1, load_percent=40, received_ms=now),
+                status("c", received_ms=now),
             ],
         )
         == "overload"
@@ -115,14 +115,14 @@
     local = local_status(0, value=1.5, cells=1)
     now_ms = 0.0
     while (
-        policy.reason(now_ms, local=local, statuses=[status("b", heard_ms=now_ms)])
+        policy.reason(now_ms, local=local, statuses=[status("b", received_ms=now_ms)])
         is None
     ):
         now_ms += STEP_MS
     policy.on_left(now_ms)
     regained_ms = now_ms = policy.cooldown_until_ms + STEP_MS
     while (
-        policy.reason(now_ms, local=local, statuses=[status("b", heard_ms=now_ms)])
+        policy.reason(now_ms, local=local, statuses=[status("b", received_ms=now_ms)])
         is None
     ):
         now_ms += STEP_MS
