--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from thymefork_daemon import join_deferral as owner_first_module
+from thymefork_daemon import join_deferral as join_deferral_module
 from thymefork_daemon.join_deferral import JoinDeferral
 
-CLOCK_MODULES = (owner_first_module,)
+CLOCK_MODULES = (join_deferral_module,)
 
 
 @pytest.fixture
