--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
@@ -45,12 +45,12 @@
 
 
 def test_wait_for_owner_without_store_is_bounded(daemon, timers):
-    first = JoinDeferral(daemon=daemon)
+    deferral = JoinDeferral(daemon=daemon)
     daemon.store_readable_since_ms = timers.now_ms
     timers.run(300)
-    assert first.must_wait()
+    assert deferral.must_wait()
     timers.run(200)
-    assert not first.must_wait()
+    assert not deferral.must_wait()
 
 
 class NewInstance:
