--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -2,7 +2,7 @@
 
 from loguru import logger
 
-from thymefork_net import AnswerPace
+from thymefork_net import AdaptiveTimeout
 
 __all__ = ["AppendWindow"]
 
@@ -46,11 +46,11 @@
     def __init__(self, *, cell, metrics):
         self._cell = cell
         self._metrics = metrics
-        self._pace = AnswerPace(
-            first_ms=INITIAL_APPEND_MS,
+        self._pace = AdaptiveTimeout(
+            initial_ms=INITIAL_APPEND_MS,
             factor=HEDGE_FACTOR,
-            shortest_ms=MIN_HEDGE_DELAY_MS,
-            longest_ms=MAX_HEDGE_DELAY_MS,
+            min_ms=MIN_HEDGE_DELAY_MS,
+            max_ms=MAX_HEDGE_DELAY_MS,
         )
         self._is_slow = False
         self._baseline_ms = 0.0
@@ -94,18 +94,18 @@
             line.info("the store is slow: appends overlap")
         self._overlapping_count += 1
 
-    def record_answer(self, took_ms, *, repeats):
+    def record_answer(self, took_ms, *, is_repeat):
         """Update the append time; log when the store becomes slow or fast.
 
-        A call that `repeats` another may be answered early, so its time is not used for
+        A call that `is_repeat` another may be answered early, so its time is not used for
         the target.
         """
-        self._pace.answered(took_ms)
+        self._pace.record_answer_time(took_ms)
         was_slow = self._is_slow
         self._is_slow = took_ms > (FAST_THRESHOLD_MS if was_slow else SLOW_THRESHOLD_MS)
         if self._is_slow != was_slow:
             self._on_speed_change(took_ms)
-        if self._is_slow and not repeats:
+        if self._is_slow and not is_repeat:
             self._adapt_target(took_ms)
 
     def _on_speed_change(self, took_ms):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_partition.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_partition.py
@@ -18,8 +18,8 @@
         self._store = store
         self._partition = partition
 
-    def append(self, *, records, sequence, on_result, repeats=False):
-        """Append records; `repeats` is true if an earlier call may have stored them."""
+    def append(self, *, records, sequence, on_result, is_repeat=False):
+        """Append records; `is_repeat` is true if an earlier call may have stored them."""
         self._store.append(
             topic=CELLS_TOPIC,
             partition=self._partition,
@@ -27,7 +27,7 @@
             writer=f"cell-{self.cell}",
             epoch=self.epoch,
             sequence=sequence,
-            repeats=repeats,
+            is_repeat=is_repeat,
             on_result=on_result,
         )
 
