--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_partition.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_partition.py
@@ -19,7 +19,7 @@
         self._partition = partition
 
     def append(self, *, records, sequence, on_result, is_repeat=False):
-        """Append records; `is_repeat` is true if an earlier call may have stored them."""
+        """Append records; `is_repeat` is true if a call for them was sent before."""
         self._store.append(
             topic=CELLS_TOPIC,
             partition=self._partition,
