--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -97,8 +97,8 @@
     def record_answer(self, took_ms, *, is_repeat):
         """Update the append time; log when the store becomes slow or fast.
 
-        A call that `is_repeat` another may be answered early, so its time is not used for
-        the target.
+        A repeated call (`is_repeat`) may be answered early, for the call before it, so
+        its time is not used for the target.
         """
         self._hedge_timeout.record_answer_time(took_ms)
         was_slow = self._is_slow
