--- a/packages/thymefork-net/src/thymefork_net/http/call.py
+++ b/packages/thymefork-net/src/thymefork_net/http/call.py
@@ -20,7 +20,7 @@
     `wants_new_connection` repeats one that is unanswered: others may be as silent.
     A call with a `first_body` sends that in place of its body as the first call on a
     connection, whose peer may have started again since the last one was answered;
-    `is_first` tells which was sent.
+    `is_first_on_connection` tells which was sent.
     """
 
     address: Address
@@ -31,7 +31,7 @@
     max_deadline_ms: float = 0.0
     body: bytes = b""
     first_body: bytes | None = None
-    is_first: bool = False
+    is_first_on_connection: bool = False
     headers: tuple[tuple[str, str], ...] = ()
     still_wanted: Callable | None = None
     wants_new_connection: bool = False
@@ -50,6 +50,6 @@
         return "\r\n".join(lines).encode("ascii") + b"\r\n\r\n" + body
 
     def _body_to_send(self):
-        if self.is_first and self.first_body is not None:
+        if self.is_first_on_connection and self.first_body is not None:
             return self.first_body
         return self.body
--- a/packages/thymefork-net/src/thymefork_net/steady.py
+++ b/packages/thymefork-net/src/thymefork_net/steady.py
@@ -62,13 +62,13 @@
         over.
         """
 
-        def again():
+        def fire():
             try:
                 action()
             finally:
-                self.at(self._next_ms(period_ms), again)
+                self.at(self._next_ms(period_ms), fire)
 
-        return self.at(self._next_ms(period_ms), again)
+        return self.at(self._next_ms(period_ms), fire)
 
     def _next_ms(self, period_ms):
         """Return the first multiple of a period that is still to come."""
--- a/packages/thymefork-net/src/thymefork_net/tests/test_http.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_http.py
@@ -279,11 +279,11 @@
 def test_a_repeated_call_is_answered_beside_silent_connections(
     loop, address, pool_with_stale_connections
 ):
-    first, again = [], []
+    first, retry = [], []
     pool_with_stale_connections.send(call(address, first))
-    pool_with_stale_connections.send(call(address, again, wants_new_connection=True))
-    loop.run_until(lambda: again)
-    assert again[0].status == 200 and not first
+    pool_with_stale_connections.send(call(address, retry, wants_new_connection=True))
+    loop.run_until(lambda: retry)
+    assert retry[0].status == 200 and not first
 
 
 def test_the_first_call_on_a_connection_may_have_a_body_of_its_own(
@@ -299,4 +299,4 @@
         requests[-1].answer(200, b"ok")
         loop.run_until(lambda number=number: len(answers) == number + 1)
     assert [request.body for request in requests] == [b"first", b"{}"]
-    assert [one.is_first for one in calls] == [True, False]
+    assert [one.is_first_on_connection for one in calls] == [True, False]
