--- a/bench/experiments.py
+++ b/bench/experiments.py
@@ -19,7 +19,7 @@
 import typer
 from attrs import frozen
 
-from thymefork_cells.accounts import shares
+from thymefork_cells.accounts import job_rate_shares
 from thymefork_cells.advice import choice as advice_choice
 from thymefork_cells.estimates import images, worker_speeds
 from thymefork_cells.placing import (
@@ -65,7 +65,7 @@
 # What a variant changes: module or class, name and value.
 VARIANTS = {
     "as it is": (),
-    "no shares": ((shares.Shares, "admits", lambda *args: True),),
+    "no shares": ((job_rate_shares.Shares, "admits", lambda *args: True),),
     "by jobs a second alone": (
         (step_order.StepOrder, "_by_use", share_orders.jobs_alone),
     ),
@@ -85,8 +85,8 @@
     "in time first, over priorities": (
         (step_order.StepOrder, "_by_use", load_states.order_over_priorities),
     ),
-    "shares of 0.5 s": ((shares, "BURST_MS", 500.0),),
-    "shares of 10 s": ((shares, "BURST_MS", 10_000.0),),
+    "shares of 0.5 s": ((job_rate_shares, "BURST_MS", 500.0),),
+    "shares of 10 s": ((job_rate_shares, "BURST_MS", 10_000.0),),
     "shortest first": ((step_order.StepOrder, "steps", _shortest_first),),
     "emptiest worker first": ((placer, "fit_score", _emptiest_first),),
     "nobody makes way": ((preemptor.Preemptor, "make_room", lambda *args: False),),
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/borrowing.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_borrower.py
@@ -3,17 +3,17 @@
 from collections import defaultdict
 
 from ..specs import LimitParts
-from .asking import Asking
 from .borrowed_account import BorrowedAccount
-from .giving_back import GivingBack
+from .part_requester import PartRequester
+from .part_returner import PartReturner
 
-__all__ = ["Borrowing"]
+__all__ = ["PartBorrower"]
 
 # Grants of one round come close together; what is missing still is asked for then.
 GATHER_MS = 20.0
 
 
-class Borrowing:
+class PartBorrower:
     """Take what other cells lend; ask them by need, and give back what is idle."""
 
     def __init__(self, *, context, ledger, quotas, needs):
@@ -21,17 +21,17 @@
         self._ledger = ledger
         self._needs = needs
         self._accounts = defaultdict(BorrowedAccount)
-        self._asking = Asking(
+        self._asking = PartRequester(
             context=context, ledger=ledger, quotas=quotas, needs=needs
         )
-        self._giving_back = GivingBack(
+        self._giving_back = PartReturner(
             context=context, ledger=ledger, needs=needs, asking=self._asking
         )
 
-    def turn(self, now_ms):
+    def run_cycle(self, now_ms):
         """Ask for what is missing, and give back what lenders need."""
         for name in self._ledger.recalled_accounts:
-            self._giving_back.honour_recalls(name, self._accounts[name], now_ms)
+            self._giving_back.apply_recalls(name, self._accounts[name], now_ms)
         self._asking.ask(self._accounts, now_ms)
 
     def due_ms(self, now_ms):
@@ -76,7 +76,7 @@
         self._ledger.borrow(name, grant.lender, grant.parts, key)
         account = self._accounts[name]
         account.idle = None
-        if grant.parts.less(before):
+        if grant.parts.minus(before):
             soon_ms = max(now_ms + GATHER_MS, account.paused_until_ms)
             account.due_ms = min(account.due_ms, soon_ms)
             self._context.count("limit_parts", "borrowed")
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/lending.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_lender.py
@@ -7,7 +7,7 @@
 from ..effects import GrantParts
 from ..specs import PARTS_PER_CELL, LimitParts
 
-__all__ = ["Lending"]
+__all__ = ["PartLender"]
 
 # An ask is renewed every two seconds at the latest while it holds; one that is older
 # than twice that is of an owner that is cut off or gone.
@@ -21,7 +21,7 @@
 OWN = LimitParts.all_of(PARTS_PER_CELL)
 
 
-class Lending:
+class PartLender:
     """Lend the cell's own parts that its work doesn't want.
 
     An ask is kept for a while and served as parts become idle. What lets a step begin
@@ -63,25 +63,25 @@
         if loan is None or loan.grant != grant:
             self._context.count("limit_parts", "late_hold")
             return
-        returned = self._ledger.take_back(hold.account, hold.borrower, hold.parts)
+        returned = self._ledger.reduce_loan(hold.account, hold.borrower, hold.parts)
         if returned:
             self._context.count("limit_parts", "came_back")
             self.serve(hold.account, now_ms)
 
-    def turn(self, now_ms):
+    def run_cycle(self, now_ms):
         """Serve the asks that wait; tell what is lent once more when it is due."""
         for name in list(self._asks):
             self.serve(name, now_ms)
         if now_ms >= self._remind_due_ms:
             self._remind_due_ms = now_ms + REMIND_MS
             for name in self._ledger.lent_accounts:
-                self.remind(name, now_ms)
+                self.resend_grants(name, now_ms)
 
-    def has_asks(self, name):
+    def has_requests(self, name):
         """Tell whether another cell waits for parts of an account."""
         return bool(self._asks.get(name))
 
-    def remind(self, name, now_ms):
+    def resend_grants(self, name, now_ms):
         """Tell each borrower of an account what is lent to it."""
         for borrower, loan in self._ledger.loans(name).items():
             self._tell(name, borrower, loan, now_ms)
@@ -115,7 +115,7 @@
         for borrower, gift in gifts.items():
             ask, until_ms = self._asks[name][borrower]
             self._lend(name, borrower, gift, now_ms)
-            left = evolve(ask, least=ask.least.less(gift), most=ask.most.less(gift))
+            left = evolve(ask, least=ask.least.minus(gift), most=ask.most.minus(gift))
             self._asks[name][borrower] = (left, until_ms)
             if not left.least and not left.most:
                 del self._asks[name][borrower]
@@ -128,7 +128,7 @@
         for ask, _ in self._asks.get(name, {}).values():
             if ask.covers_runs:
                 promised += ask.least
-        self._ledger.promise(name, promised)
+        self._ledger.set_reserved(name, promised)
 
     def _live_asks(self, name, now_ms):
         """Return the asks that still wait, the longest waiter's first."""
@@ -145,14 +145,14 @@
         gifts = {}
         given = NONE
         for ask in asks:
-            gift = ask.least.at_most(self._idle(name, now_ms, ask).less(given))
+            gift = ask.least.elementwise_min(self._idle(name, now_ms, ask).minus(given))
             gifts[ask.borrower] = gift
             given += gift
         if asks:
-            spare = self._idle(name, now_ms).less(KEPT).less(given).split(len(asks))
+            spare = self._idle(name, now_ms).minus(KEPT).minus(given).split(len(asks))
             for ask in asks:
                 gift = gifts[ask.borrower]
-                gifts[ask.borrower] = gift + ask.most.less(gift).at_most(spare)
+                gifts[ask.borrower] = gift + ask.most.minus(gift).elementwise_min(spare)
         return {borrower: gift for borrower, gift in gifts.items() if gift}
 
     def _idle(self, name, now_ms, ask=None):
@@ -164,20 +164,20 @@
             return NONE
         gives_way = ask is not None and self._goes_first(ask, now_ms)
         wanted = self._needs.used(name) if gives_way else self._needs.wanted(name)
-        return self._ledger.unlent(name).less(wanted)
+        return self._ledger.unlent(name).minus(wanted)
 
     def _goes_first(self, ask, now_ms):
         """Tell whether what waits here gives way to an ask's step."""
         name = ask.account
-        first = self._needs.to_begin(name)
+        first = self._needs.required_to_start(name)
         if ask.covers_runs:
             return True
-        if not first.less(self._ledger.usable(name)):
+        if not first.minus(self._ledger.usable(name)):
             return False  # it begins in the next plan
         demand = self._quotas.demands[name]
         age_ms = now_ms - demand.since_ms
         since_epoch_ms = round(self._context.epoch_ms() - age_ms)
-        is_within = not first.less(OWN)
+        is_within = not first.minus(OWN)
         return ask.order < (not is_within, since_epoch_ms, self._context.cell)
 
     def _lend(self, name, borrower, more, now_ms):
--- a/packages/thymefork-cells/src/thymefork_cells/advice/desk.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/desk.py
@@ -2,7 +2,7 @@
 
 from operator import itemgetter
 
-from ..effects import AskAdvice
+from ..effects import RequestAdvice
 from ..state import Ticket
 from .choice import AllowedShares, choose_workers, has_tickets_to_wait
 
@@ -72,11 +72,11 @@
             return True
         return step.ticket_for(worker.worker_id, now_ms) is not None
 
-    def consider(self, step, workers, now_ms, *, may_start, stands_still=False):
+    def consider(self, step, workers, now_ms, *, may_start, is_starved=False):
         """Note that a step may want a call, if its tickets may be missing soon.
 
         `workers` are given by id; `may_start` is how many tasks of the step its account
-        may start now, `stands_still` that the account has wanted room for long and
+        may start now, `is_starved` that the account has wanted room for long and
         held none.
         """
         policy = self.policy(step)
@@ -89,7 +89,7 @@
         if not self._is_near(step, most_ms, now_ms):
             return
         step.advice_wanted_ms = step.advice_wanted_ms or now_ms
-        steps_later = 0 if stands_still else self._steps_later(step, may_start)
+        steps_later = 0 if is_starved else self._steps_later(step, may_start)
         due_ms = step.advice_wanted_ms + PRIORITY_STEP_MS * steps_later
         self._wanting.append((due_ms, len(self._wanting), step, workers, may_start))
 
@@ -111,7 +111,7 @@
             policy = self.policy(step)
             if not self._may_be_called(policy.decision_ms):
                 continue
-            if self._context.delays_early_advice and not step.ready:
+            if self._context.defers_early_advice and not step.ready:
                 self._context.count("owner_shed", "early_advice")
                 continue
             self._forget_denials(step, now_ms)
@@ -128,7 +128,7 @@
     def _may_be_called(self, cost_ms):
         """Tell whether there may be an instance for a call of such a cost or more."""
         slots = self._context.advice_slots
-        return slots is None or slots.has_room(cost_ms)
+        return slots is None or slots.has_capacity(cost_ms)
 
     def _ask(self, step, policy, candidates):
         cost_ms = policy.decision_ms + policy.per_worker_ms * len(candidates)
@@ -140,7 +140,7 @@
         queue = self._context.queue(step.job)
         self._context.count("advice_workers", queue.name, len(candidates))
         self._context.emit(
-            AskAdvice(
+            RequestAdvice(
                 step=step,
                 worker_ids=tuple(worker.worker_id for worker in candidates),
                 cost_ms=cost_ms,
@@ -155,10 +155,10 @@
         The policy does not change, but a worker that was new to the service when it
         was asked may have been left out of its answer.
         """
-        patience_ms = ASK_ANEW_MS * 2**step.asked_anew
+        patience_ms = ASK_ANEW_MS * 2**step.repeated_requests
         if step.ready and now_ms - max(step.ready_ms, step.denied_ms) > patience_ms:
             step.denied_ms = now_ms
-            step.asked_anew += 1
+            step.repeated_requests += 1
             step.denied.clear()
 
     def _candidates(self, step, workers, wanted, now_ms, permits):
@@ -176,8 +176,10 @@
         for worker_id, worker in workers.items():
             if worker_id in known:
                 continue
-            has_room = worker.has_room(step.spec) and permits(step, worker, now_ms)
-            (with_room if has_room and is_of_use(worker) else others).append(worker)
+            has_capacity = worker.has_capacity(step.spec) and permits(
+                step, worker, now_ms
+            )
+            (with_room if has_capacity and is_of_use(worker) else others).append(worker)
         if step.ready and not with_room and has_tickets_to_wait(held, wanted):
             return self._to_renew(step, workers, now_ms)
         chance = None
@@ -197,9 +199,11 @@
     @staticmethod
     def _judge_of_use(step):
         """Return what tells whether a task that waits may go to a worker with room."""
-        counts = step.per_worker() if step.spec.most_per_worker else {}
-        avoided = [task.avoided for task in step.waiting]
-        avoided_by_all = set.intersection(*avoided) if avoided else set()
+        counts = step.runs_per_worker() if step.spec.most_per_worker else {}
+        avoided_workers = [task.avoided_workers for task in step.waiting]
+        avoided_by_all = (
+            set.intersection(*avoided_workers) if avoided_workers else set()
+        )
 
         def is_of_use(worker):
             worker_id = worker.worker_id
@@ -227,7 +231,7 @@
         allowed = [
             workers[worker_id]
             for worker_id in sorted(step.allowed & workers.keys())
-            if workers[worker_id].could_hold(step.spec)
+            if workers[worker_id].fits_when_empty(step.spec)
         ]
         lasting = [
             worker
@@ -254,7 +258,7 @@
             for task in earlier.tasks:
                 if task.done:
                     continue
-                run = task.serving_run
+                run = task.active_run
                 if run is None:
                     left_ms = self._images.expected_ms(earlier.spec) + AHEAD_MS
                 else:
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/images.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/images.py
@@ -95,8 +95,8 @@
         """Return the total time at the pace that was seen, None if there is none."""
         span_ms = run.listed_ms - run.first_listed_ms
         first_percent = run.first_percent
-        was_seen_whole = not run.resumed and not run.was_begun_before
-        if span_ms < SHORTEST_SPAN_MS and was_seen_whole:
+        has_known_duration = not run.resumed and not run.started_by_previous_owner
+        if span_ms < SHORTEST_SPAN_MS and has_known_duration:
             span_ms = run.listed_ms - run.began_ms
             first_percent = 0
         if span_ms < SHORTEST_SPAN_MS or run.percent < 0:
@@ -112,7 +112,7 @@
         known_ms = self._known_work_ms(run.step)
         if known_ms is None:
             return 0.0
-        usual_ms = known_ms * run.worker.sound_slowness
+        usual_ms = known_ms * run.worker.healthy_slowness
         total_ms = self._pace_total_ms(run)
         if total_ms is None:
             # It was never listed: late if it should have ended a while ago.
@@ -131,7 +131,7 @@
         total_ms = self._pace_total_ms(run)
         if known_ms is None or total_ms is None:
             return None
-        return total_ms / (known_ms * run.worker.sound_slowness)
+        return total_ms / (known_ms * run.worker.healthy_slowness)
 
     def _known_work_ms(self, step):
         """Return what a task takes on an ordinary worker, None where it isn't known."""
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/speed_learner.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/speed_learner.py
@@ -2,7 +2,7 @@
 
 from math import exp
 
-from ..effects import TellSpeeds
+from ..effects import AnnounceSpeeds
 from .speed_news import SpeedNews
 
 __all__ = ["SpeedLearner"]
@@ -40,15 +40,15 @@
         """Learn from the good end of a run that this owner saw begin."""
         took_ms = now_ms - run.began_ms
         self._images.learn(run.step.image, took_ms / run.slowness)
-        if not run.has_told_speed:
+        if not run.is_speed_learned:
             self._learn(run, took_ms, now_ms)
 
     def _learn_from_progress(self, now_ms):
         """Learn from runs that are some way on: long ones end only much later."""
         for worker in self._context.workers.values():
             for run in worker.runs.values():
-                if not run.has_told_speed and _is_some_way_on(run):
-                    run.has_told_speed = True
+                if not run.is_speed_learned and _is_some_way_on(run):
+                    run.is_speed_learned = True
                     span_ms = run.listed_ms - run.began_ms
                     self._learn(run, span_ms * 100.0 / run.percent, now_ms)
 
@@ -128,12 +128,12 @@
         self._tell_due_ms = now_ms + TELL_MS
         news = self._news.take(machines, MOST_TOLD, now_ms)
         if news:
-            self._context.emit(TellSpeeds(speeds=tuple(news)))
+            self._context.emit(AnnounceSpeeds(speeds=tuple(news)))
 
 
 def _is_some_way_on(run):
     """Tell whether a run's progress tells how long it takes."""
-    if run.percent < LEAST_PERCENT or run.percent >= 100 or not run.was_seen_whole:
+    if run.percent < LEAST_PERCENT or run.percent >= 100 or not run.has_known_duration:
         return False
     return run.percent_changed_ms - run.began_ms >= LEAST_SPAN_MS
 
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
@@ -44,7 +44,7 @@
             epoch_ms=epoch_ms,
             now_ms=now_ms,
         )
-        job.shown_state = job.state
+        job.visible_state = job.state
         if progress is not None:
             decode_progress(job, progress, self._worker_of)
         return job
@@ -60,7 +60,7 @@
                 self._lifecycle.stop(run, f"the job is {job.state}", now_ms=now_ms)
         else:
             self._context.live_jobs[job.job_id] = job
-            self._losses.adopt(job)
+            self._losses.load_losses(job)
         self._context.jobs[job.job_id] = job
 
     def _judge_shares(self):
--- a/packages/thymefork-cells/src/thymefork_cells/placing/placer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placing/placer.py
@@ -2,7 +2,7 @@
 
 from functools import partial
 
-from ..accounts import UsedShares
+from ..accounts import DominantShares
 from ..effects import StartRun
 from ..state import JobState, Run, RunState
 from .gang_choice import workers_for_gang
@@ -46,7 +46,7 @@
         self._trials = trials
         self._preemptor = preemptor
         self._reservations = reservations
-        used_shares = UsedShares(context=context)
+        used_shares = DominantShares(context=context)
         self._order = StepOrder(context=context, images=images, used_shares=used_shares)
         self._notes = PlacingNotes(
             context=context, advice=advice, quotas=quotas, used_shares=used_shares
@@ -59,13 +59,13 @@
     def plan(self, now_ms):
         """Intend all starts that are possible now."""
         self._context.needs_plan = False
-        if self._context.is_list_stale(now_ms):
+        if self._context.is_worker_list_stale(now_ms):
             return
         if now_ms >= self._list_due_ms:
             self._list_due_ms = now_ms + LIST_MS
             self._by_service = self._workers_by_service(now_ms)
         by_service = self._by_service
-        steps = self._quotas.in_view(self._order.steps(now_ms), now_ms)
+        steps = self._quotas.plannable_steps(self._order.steps(now_ms), now_ms)
 
         def workers_of(step):
             workers = by_service.get(self._context.service_of(step.job), {})
@@ -77,7 +77,7 @@
                 if fits_labels(step, worker)
             }
 
-        may_start = {step: self._quotas.tasks_left(step, now_ms) for step in steps}
+        may_start = {step: self._quotas.tasks_allowed(step, now_ms) for step in steps}
         self._reservations.review(
             [step for step in steps if may_start[step]],
             lambda step: workers_of(step).values(),
@@ -93,7 +93,7 @@
                 workers,
                 now_ms,
                 may_start=may_start[step],
-                stands_still=self._order.stands_still(step, now_ms),
+                is_starved=self._order.is_starved(step, now_ms),
             )
         self._advice.ask(now_ms, permits=self._reservations.permits)
 
@@ -109,7 +109,7 @@
 
     def _place(self, step, workers, now_ms):
         waiting = self._order.startable(step, now_ms)
-        allowed = self._quotas.tasks_left(step, now_ms)
+        allowed = self._quotas.tasks_allowed(step, now_ms)
         if step.spec.gang:
             if len(waiting) == len(step.tasks) <= allowed:
                 self._place_gang(step, workers, now_ms)
@@ -138,7 +138,7 @@
     def _place_sound(self, step, tasks, workers, permitted, now_ms):
         """Start tasks under which no worker was lost; return each with its worker."""
         spec = step.spec
-        usable = [worker for worker in permitted if worker.has_room(spec)]
+        usable = [worker for worker in permitted if worker.has_capacity(spec)]
         if not usable:
             return []
         fit = self._speed_fit(step, now_ms)
@@ -147,7 +147,7 @@
             spec=spec,
             workers=usable,
             hall=best_hall(spec, suitable, len(tasks)),
-            counts=step.per_worker() if spec.most_per_worker else None,
+            counts=step.runs_per_worker() if spec.most_per_worker else None,
             rate=partial(fit_score, spec, speed_fit=fit),
             may_find_others=self._advice.may_find_others(step, workers),
         )
@@ -178,7 +178,7 @@
             spec=step.spec,
             workers=self._trials.workers_for(step, ready, permitted, now_ms),
             hall="",
-            counts=step.per_worker() if step.spec.most_per_worker else None,
+            counts=step.runs_per_worker() if step.spec.most_per_worker else None,
             rate=partial(self._trials.rate, step),
         )
         starts = self._start(ready, ranking)
@@ -191,7 +191,7 @@
         starts = []
         for task in tasks:
             worker = ranking.best_for(task)
-            if worker is None and not task.avoided:
+            if worker is None and not task.avoided_workers:
                 break
             if worker is None:
                 continue
@@ -244,7 +244,7 @@
         job = task.step.job
         task.run_count = run_id
         task.runs.append(run)
-        task.step.touch()
+        task.step.invalidate_waiting()
         worker.add(run)
         worker.health.started(run)
         if job.state is JobState.QUEUED:
@@ -257,6 +257,6 @@
     """Tell whether a worker may be given any task now."""
     if not worker.is_known or not worker.is_listed or worker.entry.draining:
         return False
-    if worker.entry.is_lapsed or worker.is_doubtful or worker.entry.cpu_milli <= 0:
+    if worker.entry.is_lapsed or worker.is_suspect or worker.entry.cpu_milli <= 0:
         return False
     return worker.slow_until_ms <= now_ms and worker.health.takes_work(now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/placing/preemptor.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placing/preemptor.py
@@ -130,7 +130,7 @@
     most = step.spec.most_per_worker
     if not most:
         return count
-    held = step.per_worker().get(worker.worker_id, 0)
+    held = step.runs_per_worker().get(worker.worker_id, 0)
     return max(0, min(count, most - held))
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/placing/tests/test_worker_choice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placing/tests/test_worker_choice.py
@@ -20,9 +20,11 @@
     """Return the best worker by rating all of them: the reference."""
     best, best_score = None, None
     for worker in workers:
-        if not worker.has_room(spec) or worker.health.awaits_probe:
+        if not worker.has_capacity(spec) or worker.health.awaits_probe:
             continue
-        if worker.worker_id in task.avoided and len(workers) > len(task.avoided):
+        if worker.worker_id in task.avoided_workers and len(workers) > len(
+            task.avoided_workers
+        ):
             continue
         if any(run.worker is worker for run in task.runs):
             continue
@@ -83,7 +85,7 @@
     tasks = job.steps[0].tasks
     for task in tasks:
         if rng.random() < 0.2:
-            task.avoided.add(rng.choice(workers).worker_id)
+            task.avoided_workers.add(rng.choice(workers).worker_id)
         if rng.random() < 0.2:
             give(task, rng.choice(workers))
     return tasks
@@ -102,7 +104,7 @@
     rng = random.Random(seed)
     workers, spec, hall = make_workers(rng), make_spec(rng), rng.choice(HALLS)
     tasks = make_tasks(rng, spec, workers)
-    counts = tasks[0].step.per_worker() if spec.most_per_worker else None
+    counts = tasks[0].step.runs_per_worker() if spec.most_per_worker else None
     ranking = WorkerRanking(
         rate=partial(fit_score, spec),
         spec=spec,
--- a/packages/thymefork-cells/src/thymefork_cells/placing/trials.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placing/trials.py
@@ -9,8 +9,8 @@
 
 from functools import partial
 
-from ..state import Trial, are_alike
-from ..workers.worker_losses import MOST_CRASHES, MOST_LOSSES, trial_ms
+from ..state import Trial, have_similar_timing
+from ..workers.worker_losses import MAX_CRASHES, MAX_LOSSES, clearing_time_ms
 from .worker_choice import DOUBT_PENALTY, REMOTE_PENALTY
 
 __all__ = ["APART_AFTER", "Trials"]
@@ -33,14 +33,18 @@
         """Tell whether a task may have crashed workers, so that it starts with care."""
         if len(task.losses) >= APART_AFTER:
             return True
-        return task.may_crash_workers or task.suspicion(now_ms) > len(task.losses)
+        return task.may_crash_workers or task.suspected_crashes(now_ms) > len(
+            task.losses
+        )
 
     @staticmethod
     def is_ready(task, now_ms):
         """Tell whether a suspected task may be started at all."""
-        if len(task.losses) < MOST_CRASHES or not are_alike(task.losses.values()):
+        if len(task.losses) < MAX_CRASHES or not have_similar_timing(
+            task.losses.values()
+        ):
             return True
-        return now_ms - task.lost_ms > WORD_PATIENCE_MS
+        return now_ms - task.last_lost_ms > WORD_PATIENCE_MS
 
     @staticmethod
     def workers_for(step, tasks, workers, now_ms):
@@ -55,7 +59,7 @@
         empty = [worker for worker in workers if not worker.runs_of_others(job)]
         if empty:
             return empty
-        since_ms = max([step.ready_ms, *(task.lost_ms for task in tasks)])
+        since_ms = max([step.ready_ms, *(task.last_lost_ms for task in tasks)])
         if now_ms - since_ms > APART_PATIENCE_MS:
             return workers
         return []
@@ -72,7 +76,7 @@
         """Keep other jobs off a worker while a task that has to run apart is tried."""
         if not _has_to_run_apart([task], now_ms):
             return
-        until_ms = now_ms + trial_ms(task)
+        until_ms = now_ms + clearing_time_ms(task)
         if worker.trial is not None and worker.trial.job is task.step.job:
             until_ms = max(until_ms, worker.trial.until_ms)
         worker.trial = Trial(job=task.step.job, until_ms=until_ms)
@@ -81,7 +85,7 @@
     def rate(step, worker):
         """Rate a worker for a suspected task; the lowest is best: least is at risk."""
         score = _cpu_at_risk(worker, step.job) / max(1, worker.entry.cpu_milli)
-        if worker.is_last_choice:
+        if worker.is_least_preferred:
             score += DOUBT_PENALTY
         rack = step.spec.preferred_rack
         if rack and rack != worker.entry.rack:
@@ -94,9 +98,11 @@
 
 
 def _has_to_be_alone(task, now_ms):
-    if len(task.losses) >= MOST_LOSSES - 1:
+    if len(task.losses) >= MAX_LOSSES - 1:
         return True  # the next loss decides, whoever stands beside it
-    return task.suspicion(now_ms) >= APART_AFTER and are_alike(task.losses.values())
+    return task.suspected_crashes(now_ms) >= APART_AFTER and have_similar_timing(
+        task.losses.values()
+    )
 
 
 def _cpu_at_risk(worker, job):
--- a/packages/thymefork-cells/src/thymefork_cells/placing/worker_choice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placing/worker_choice.py
@@ -66,7 +66,7 @@
         self._rows = [
             (self._rate(worker), position, worker)
             for position, worker in enumerate(workers)
-            if worker.has_room(spec)
+            if worker.has_capacity(spec)
         ]
         heapq.heapify(self._rows)
 
@@ -95,7 +95,7 @@
         if self._counts is not None:
             count = self._counts.get(worker.worker_id, 0)
             self._counts[worker.worker_id] = count + 1
-        if worker.has_room(self._spec):
+        if worker.has_capacity(self._spec):
             heapq.heappush(self._rows, (self._rate(worker), position, worker))
 
     def _rate(self, worker):
@@ -103,15 +103,15 @@
         return score if worker.entry.hall == self._hall else score + OTHER_HALL_PENALTY
 
     def _takes_step(self, worker):
-        if not worker.has_room(self._spec) or worker.health.awaits_probe:
+        if not worker.has_capacity(self._spec) or worker.health.awaits_probe:
             return False
         if not self._counts:
             return True
         return self._counts.get(worker.worker_id, 0) < self._spec.most_per_worker
 
     def _takes_task(self, worker, task):
-        others = self._may_find_others or self._size > len(task.avoided)
-        if worker.worker_id in task.avoided and others:
+        others = self._may_find_others or self._size > len(task.avoided_workers)
+        if worker.worker_id in task.avoided_workers and others:
             return False
         return not any(run.worker is worker for run in task.runs)
 
@@ -154,7 +154,7 @@
     if spec.accelerators and entry.accelerators:
         # Tasks that want all of a worker's need one that no single task has broken.
         points += (worker.free_accelerators - spec.accelerators) / entry.accelerators
-    if worker.is_last_choice:
+    if worker.is_least_preferred:
         points += DOUBT_PENALTY
     if is_remote:
         points += REMOTE_PENALTY
--- a/packages/thymefork-cells/src/thymefork_cells/state/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/__init__.py
@@ -3,7 +3,7 @@
 from .account_usage import AccountUsage
 from .advice_slots import LONG_CALL_MS, AdviceSlots
 from .job import Job, JobState
-from .loss import SOON_MS, Loss, are_alike
+from .loss import EARLY_LOSS_MS, WorkerLoss, have_similar_timing
 from .run import Run, RunState
 from .step_state import StepState, Ticket
 from .task import Task
@@ -12,20 +12,20 @@
 from .worker_health import WorkerHealth
 
 __all__ = [
+    "EARLY_LOSS_MS",
+    "LONG_CALL_MS",
     "AccountUsage",
     "AdviceSlots",
     "Job",
     "JobState",
-    "LONG_CALL_MS",
-    "Loss",
     "Run",
     "RunState",
-    "SOON_MS",
     "StepState",
     "Task",
     "Ticket",
     "Trial",
     "Worker",
     "WorkerHealth",
-    "are_alike",
+    "WorkerLoss",
+    "have_similar_timing",
 ]
--- a/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
@@ -3,7 +3,7 @@
 import simpy
 from attrs import evolve
 
-from thymefork_cells.specs import AccountPolicy, RoomLimit
+from thymefork_cells.specs import AccountPolicy, ResourceLimit
 
 from .harness import Harness
 from .idle_owners import LINK_MS
@@ -59,7 +59,7 @@
     def set_limit(self, cpu_milli, cells=None):
         """Let some cells read a configuration with another limit, all if not said."""
         self._version += 1
-        limit = RoomLimit(cpu_milli=cpu_milli)
+        limit = ResourceLimit(cpu_milli=cpu_milli)
         accounts = (AccountPolicy(name="a", limit=limit),)
         for harness in self.cells if cells is None else cells:
             before = _limit_of(harness)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -8,7 +8,7 @@
 from thymefork_cells import Cell, effects as fx, encode_spec
 from thymefork_cells.specs import Bounds
 from thymefork_cells.state.advice_slots import AdviceSlots
-from thymefork_cells.workers.looks import LEASE_MS
+from thymefork_cells.workers.worker_poller import LEASE_MS
 
 from .idle_owners import PARTS, IdleOwners
 from .machine_faults import MachineFaults
@@ -17,7 +17,7 @@
 from .virtual_site import QUEUE, configuration, job_spec, worker_entries, worker_ids
 from .virtual_worker import EPOCH_MS, VirtualWorker
 
-__all__ = ["EPOCH_MS", "Harness", "SHRINK_KNOWN_MS", "job_spec"]
+__all__ = ["EPOCH_MS", "SHRINK_KNOWN_MS", "Harness", "job_spec"]
 
 APPEND_MS = 10.0
 TURN_MS = 5.0
@@ -133,7 +133,7 @@
         )
         self.cell.context.epoch_ms = lambda: EPOCH_MS + self.now
         self.cell.load(dict(self.store), epoch_ms=EPOCH_MS + self.now, now_ms=self.now)
-        self.cell.roster.update(self.entries, now_ms=self.now)
+        self.cell.registry.update(self.entries, now_ms=self.now)
         self.cell.inherited_ends.apply(self.told_ends, now_ms=self.now)
         self.cell.speed_learner.inherit(
             list(self.told_speeds.values()), now_ms=self.now
@@ -203,14 +203,14 @@
 
     def take_store_away(self, for_ms):
         """Let an outage of the store pass, which the owner knows of."""
-        self.store_down = self.cell.context.store_is_away = True
+        self.store_down = self.cell.context.is_store_unavailable = True
         self.run(for_ms)
-        self.store_down = self.cell.context.store_is_away = False
+        self.store_down = self.cell.context.is_store_unavailable = False
 
     def list_workers(self, entries):
         """Let the owner read a list of workers."""
         self.entries = entries
-        self.cell.roster.update(entries, now_ms=self.now)
+        self.cell.registry.update(entries, now_ms=self.now)
 
     def job(self, job_id):
         return self.cell.context.jobs[job_id]
@@ -246,7 +246,7 @@
             free = self.advisers.capacity - self.advisers.count
             free -= len(self.advisers.queue)
             cell.context.advice_slots = AdviceSlots(any_call=free, long_call=free)
-        cell.turn(self.now)
+        cell.run_cycle(self.now)
 
     def _turn(self, cell):
         self._decide(cell)
@@ -282,25 +282,25 @@
         elif isinstance(effect, fx.Count):
             self.counts[effect.reason] += effect.amount
         elif isinstance(effect, fx.EndsStored):
-            cell.looks.on_ends_stored(effect.worker, effect.last_end, now_ms=self.now)
-        elif isinstance(effect, fx.TellEnds):
+            cell.poller.on_ends_stored(effect.worker, effect.last_end, now_ms=self.now)
+        elif isinstance(effect, fx.AnnounceEnds):
             self.told_ends += effect.ends
-        elif isinstance(effect, fx.TellSpeeds):
+        elif isinstance(effect, fx.AnnounceSpeeds):
             self.told_speeds |= {speed.machine: speed for speed in effect.speeds}
         elif isinstance(effect, fx.StartRun):
-            if cell.orders.may_start(effect.run, self.now):
-                cell.looks.note_lease(effect.run.worker, LEASE_MS, now_ms=self.now)
+            if cell.commands.may_start(effect.run, self.now):
+                cell.poller.record_lease(effect.run.worker, LEASE_MS, now_ms=self.now)
                 self.env.process(self.carrier.start(cell, effect))
         elif isinstance(effect, fx.StopRun):
             if effect.run.worker.entry.host and not self.drop(effect):
                 self.env.process(self.carrier.stop(cell, effect))
         elif isinstance(effect, fx.PaceRun):
             self.env.process(self.carrier.pace(cell, effect))
-        elif isinstance(effect, fx.LookAt):
+        elif isinstance(effect, fx.PollWorker):
             self.env.process(self.carrier.look(cell, effect))
         elif isinstance(effect, PARTS):
             self.owners.send(effect)
-        elif isinstance(effect, fx.AskAdvice):
+        elif isinstance(effect, fx.RequestAdvice):
             self.env.process(self._advise(cell, effect))
 
     def is_current(self, cell):
@@ -311,7 +311,7 @@
         """Change the platform's list; the owner reads it unless the store is away."""
         self.entries = entries
         if not self.dead and not self.store_down:
-            self.cell.roster.update(entries, now_ms=self.now)
+            self.cell.registry.update(entries, now_ms=self.now)
 
     def crash(self, worker):
         """End a worker's life; its machine comes back, as another worker or as it."""
@@ -334,8 +334,8 @@
 
     def _advise(self, cell, effect):
         if self.advisers:
-            with self.advisers.request() as turn:
-                yield turn
+            with self.advisers.request() as run_cycle:
+                yield run_cycle
                 self.asked.append((effect.step.name, effect.worker_ids))
                 yield self.env.timeout(effect.cost_ms)
         else:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/idle_owners.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/idle_owners.py
@@ -5,7 +5,7 @@
 
 __all__ = ["APPEND_MS", "LINK_MS", "PARTS", "IdleOwners"]
 
-PARTS = (fx.AskParts, fx.GrantParts, fx.HoldParts)
+PARTS = (fx.RequestParts, fx.GrantParts, fx.ReportHeldParts)
 LINK_MS = 2.0
 APPEND_MS = 10.0
 # A new owner finds the others, and opens its links, within two heartbeats.
@@ -54,7 +54,7 @@
 
     def _turns(self, cell):
         while True:
-            cell.turn(self._harness.now)
+            cell.run_cycle(self._harness.now)
             self._send_all(cell.take_effects())
             batch = cell.journal.take(self._harness.now)
             yield self._harness.env.timeout(APPEND_MS)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/order_carrier.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/order_carrier.py
@@ -2,8 +2,8 @@
 
 from collections import Counter
 
-from thymefork_cells import OrderAnswer, Refusal, effects as fx
-from thymefork_cells.workers.looks import LEASE_MS
+from thymefork_cells import CommandAnswer, Refusal, effects as fx
+from thymefork_cells.workers.worker_poller import LEASE_MS
 
 __all__ = ["OrderCarrier"]
 
@@ -34,24 +34,24 @@
         start = (run.task.name, run.run_id, fence, deadline_ms)
         if worker.is_replaced:
             yield self._harness.env.timeout(ORDER_MS)
-            answer = OrderAnswer(refusal=Refusal.OTHER_LIFE)
+            answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
         elif self._comes_late(effect, worker, self._carry_out_start, start):
             self.starts_unanswered[run.task.name] += 1
             yield self._harness.env.timeout(SILENCE_MS)
-            answer = OrderAnswer(refusal=Refusal.SILENCE)
+            answer = CommandAnswer(refusal=Refusal.SILENCE)
         elif worker.cut or self._harness.lose(effect):
             self.starts_unanswered[run.task.name] += 1
             yield self._harness.env.timeout(SILENCE_MS)
-            answer = OrderAnswer(refusal=Refusal.SILENCE)
+            answer = CommandAnswer(refusal=Refusal.SILENCE)
         else:
             yield self._harness.env.timeout(self._harness.order_ms(effect))
             answer = self._answer_to_start(effect, worker, start)
             yield self._harness.env.timeout(self._harness.answer_ms(effect))
             if self._harness.blur(effect):
-                answer = OrderAnswer(refusal=answer.refusal)
+                answer = CommandAnswer(refusal=answer.refusal)
             if self._harness.mute(effect):
                 yield self._harness.env.timeout(SILENCE_MS)
-                answer = OrderAnswer(refusal=Refusal.SILENCE)
+                answer = CommandAnswer(refusal=Refusal.SILENCE)
         if self._harness.is_current(cell):
             cell.on_start(run, answer, now_ms=self._harness.now)
 
@@ -59,7 +59,7 @@
         refusal = self._harness.refuse(effect)
         if refusal is None:
             return self._carry_out_start(worker, *start, self._harness.now)
-        return OrderAnswer(refusal=refusal, clock_ms=worker.clock(self._harness.now))
+        return CommandAnswer(refusal=refusal, clock_ms=worker.clock(self._harness.now))
 
     def _carry_out_start(self, worker, task, *order):
         """Start a run; its task may crash the worker."""
@@ -122,15 +122,15 @@
         late = self._comes_late(effect, worker, self._carry_out_stop, stop)
         if worker.is_replaced:
             yield self._harness.env.timeout(ORDER_MS)
-            answer = OrderAnswer(refusal=Refusal.OTHER_LIFE)
+            answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
         elif late or worker.cut or self._harness.lose(effect):
             yield self._harness.env.timeout(SILENCE_MS)
-            answer = OrderAnswer(refusal=Refusal.SILENCE)
+            answer = CommandAnswer(refusal=Refusal.SILENCE)
         else:
             yield self._harness.env.timeout(self._harness.order_ms(effect))
             answer = worker.stop(*stop, self._harness.now)
             yield self._harness.env.timeout(self._harness.answer_ms(effect))
-        if self._harness.is_current(cell) and not isinstance(run, fx.StrayRun):
+        if self._harness.is_current(cell) and not isinstance(run, fx.OrphanedRun):
             cell.on_stop(run, answer, now_ms=self._harness.now)
 
     def pace(self, cell, effect):
@@ -140,7 +140,7 @@
         task, run_id = run.key
         if worker.cut or self._harness.lose(effect):
             yield self._harness.env.timeout(SILENCE_MS)
-            answer = OrderAnswer(refusal=Refusal.SILENCE)
+            answer = CommandAnswer(refusal=Refusal.SILENCE)
         else:
             yield self._harness.env.timeout(ORDER_MS)
             answer = worker.pace(task, run_id, effect.percent, fence, self._harness.now)
@@ -151,7 +151,7 @@
         worker = self._harness.workers[effect.worker.worker_id]
         deadline_ms = 0.0
         if effect.lease_ms:
-            cell.looks.note_lease(
+            cell.poller.record_lease(
                 effect.worker, effect.lease_ms, now_ms=self._harness.now
             )
             deadline_ms = effect.worker.clock_ms(self._harness.now) + effect.lease_ms
@@ -162,7 +162,7 @@
         if self._comes_late(effect, worker, self._carry_out_look, look):
             yield self._harness.env.timeout(SILENCE_MS)
             if self._harness.is_current(cell):
-                cell.looks.on_miss(
+                cell.poller.on_poll_unanswered(
                     effect.worker, quick=effect.quick, now_ms=self._harness.now
                 )
             return
@@ -175,7 +175,7 @@
         report = None
         if worker.is_replaced:
             if self._harness.is_current(cell):
-                cell.on_other_life(effect.worker, now_ms=self._harness.now)
+                cell.on_other_incarnation(effect.worker, now_ms=self._harness.now)
             return
         if not worker.cut:
             report = worker.look(*look, self._harness.now)
@@ -185,7 +185,7 @@
             return
         if report is None:
             self._heard_lives.pop(worker.worker_id, None)
-            cell.looks.on_miss(
+            cell.poller.on_poll_unanswered(
                 effect.worker, quick=effect.quick, now_ms=self._harness.now
             )
         else:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_accounts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_accounts.py
@@ -4,8 +4,8 @@
 from attrs import evolve
 
 from thymefork_cells import effects as fx
-from thymefork_cells.accounts.quotas import MOST_IN_VIEW
-from thymefork_cells.specs import AccountPolicy, RoomLimit
+from thymefork_cells.accounts.quotas import MAX_BLOCKED_STEPS
+from thymefork_cells.specs import AccountPolicy, ResourceLimit
 
 from .harness import job_spec
 
@@ -15,7 +15,7 @@
 
 
 def account(name="a", cpu_milli=0, memory_mb=0, accelerators=0, **fields):
-    limit = RoomLimit(
+    limit = ResourceLimit(
         cpu_milli=cpu_milli, memory_mb=memory_mb, accelerators=accelerators
     )
     return AccountPolicy(name=name, limit=limit, **fields)
@@ -236,7 +236,7 @@
         harness.submit(f"{number:016x}", job_spec(WIDE), account_name="a")
     harness.run(300)
     asked = {step for step, _ in harness.asked}
-    assert 0 < len(asked) <= 2 + MOST_IN_VIEW
+    assert 0 < len(asked) <= 2 + MAX_BLOCKED_STEPS
 
 
 def test_no_room_is_kept_for_a_step_that_its_limit_holds_back(make_harness):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_at_size.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_at_size.py
@@ -90,8 +90,8 @@
 
 
 def choose(step, workers, wanted, waited_ms=0.0, **fields):
-    with_room = [worker for worker in workers if worker.has_room(step.spec)]
-    others = [worker for worker in workers if not worker.has_room(step.spec)]
+    with_room = [worker for worker in workers if worker.has_capacity(step.spec)]
+    others = [worker for worker in workers if not worker.has_capacity(step.spec)]
     return choose_workers(
         step, with_room, others, wanted, waited_ms=waited_ms, **fields
     )
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_cancelled_runs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_cancelled_runs.py
@@ -77,9 +77,9 @@
     assert not harness.running()
 
 
-@pytest.mark.parametrize("unlisted_ms", [300, 2_000])
+@pytest.mark.parametrize("unlisted_since_ms", [300, 2_000])
 def test_a_task_cancelled_while_its_worker_is_not_listed_is_stopped(
-    make_harness, unlisted_ms
+    make_harness, unlisted_since_ms
 ):
     harness = make_harness(workers=2)
     start_lasting(harness)
@@ -87,9 +87,9 @@
     harness.take_over()
     harness.run(50)
     cancel(harness)
-    harness.run(unlisted_ms)
+    harness.run(unlisted_since_ms)
     harness.list_workers(entries)
-    harness.run(GONE_MS - unlisted_ms)
+    harness.run(GONE_MS - unlisted_since_ms)
     assert not harness.running()
     assert not harness.cell.context.workers["w0"].runs
 
@@ -109,7 +109,7 @@
     harness.list_workers(entries)
     harness.run(1_000)
     assert not harness.running()
-    assert harness.job(JOB).shown_state is JobState.CANCELLED
+    assert harness.job(JOB).visible_state is JobState.CANCELLED
 
 
 def test_a_task_cancelled_before_its_worker_is_unlisted_is_stopped(make_harness):
@@ -224,4 +224,4 @@
     assert gone
     assert not [task for task, _ in harness.running() if task.split(".")[0] in gone]
     assert not [run for job_id in gone for run in harness.job(job_id).runs]
-    assert not harness.cell.context.owed_stops
+    assert not harness.cell.context.pending_stops
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
@@ -36,7 +36,7 @@
     crashes = [crash for crash in harness.crashes if task in crash.tasks]
     assert len(crashes) >= 2  # one crash says nothing of a task
     assert len(harness.starts_after_crashes(task, 3)) < TOO_MANY_STARTS
-    assert harness.job(job_id).shown_state is JobState.FAILED
+    assert harness.job(job_id).visible_state is JobState.FAILED
 
 
 SHAPES = {
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
@@ -30,7 +30,7 @@
     harness.run(2_500)
     worker = harness.workers[lost[0].worker.worker_id]
     assert worker.closed[f"{JOB}.0.0.0"] >= 1  # the late start would be refused
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_tasks_of_a_silent_worker_wait_for_the_end_of_its_lease(make_harness):
@@ -48,7 +48,7 @@
     for task in tasks:
         again_ms = [at for owner, run, at in harness.starts_of(task) if owner == "w1"]
         assert again_ms and again_ms[0] >= cut.lease_until_ms
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_successor_goes_on_with_what_runs(harness):
@@ -58,7 +58,7 @@
     harness.run(400)
     harness.take_over()
     harness.run(2_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     for index in range(4):
         assert len(harness.starts_of(f"{JOB}.0.0.{index}")) == 1
 
@@ -80,7 +80,7 @@
     assert len(harness.starts_of(task)) == 1
     harness.workers["w1"].cut = False
     harness.run(4_000)
-    harness.cell.roster.expire(harness.now)
+    harness.cell.registry.expire(harness.now)
     assert not harness.cell.context.workers["w0"].runs
     assert harness.now - taken_over_ms < 10_000
 
@@ -92,7 +92,7 @@
     harness.run(600)  # the tasks end while no owner looks
     harness.take_over()
     harness.run(1_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
 
 
@@ -101,7 +101,7 @@
     harness.workers["w0"].stands_still = True
     harness.submit(JOB, job_spec({"count": 2, "cpu_milli": 8_000}))
     harness.run(8_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_task_whose_progress_is_never_told_ends_all_the_same(make_harness):
@@ -112,7 +112,7 @@
         worker._percent = lambda run, now_ms: 50
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(25_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -148,7 +148,7 @@
     accepted = [r for r in harness.replies.values() if r.outcome is Outcome.ACCEPTED]
     assert accepted
     for reply in accepted:
-        assert harness.job(reply.request_id).shown_state is JobState.SUCCEEDED
+        assert harness.job(reply.request_id).visible_state is JobState.SUCCEEDED
 
 
 def _assert_single(harness):
@@ -173,7 +173,7 @@
     harness.workers["w0"].work_ms = 200.0
     harness.submit(JOB, job_spec({"count": 3, "cpu_milli": 500}))
     harness.run(5_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_worker_on_probation_gets_one_task_at_a_time(make_harness):
@@ -183,7 +183,7 @@
     harness.run(2_000)
     assert len(harness.workers["w0"].running) == 1
     harness.run(4_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_denied_worker_is_asked_about_again_while_a_step_waits(make_harness):
@@ -194,7 +194,7 @@
     harness.run(1_000)
     harness.allowed = lambda step, worker_id: True
     harness.run(9_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_good_end_that_is_heard_after_its_lease_counts(make_harness):
@@ -207,7 +207,7 @@
     assert not harness.cell.context.workers["w0"].runs  # the leases are over
     harness.workers["w0"].cut = False
     harness.run(2_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
 
 
@@ -223,7 +223,7 @@
     assert other.running
     first.cut = False
     harness.run(1_500)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert not other.running
 
 
@@ -236,7 +236,7 @@
     harness.run(6_000)
     harness.workers["w0"].cut = False
     harness.run(3_000)
-    assert harness.job(JOB).shown_state is JobState.FAILED
+    assert harness.job(JOB).visible_state is JobState.FAILED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
 
 
@@ -260,7 +260,7 @@
     harness.run(2_500)
     assert muted
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_run_that_vanishes_after_an_answer_without_a_clock_is_started_again(
@@ -273,7 +273,7 @@
     assert blurred
     harness.workers["w0"].running.clear()
     harness.run(4_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 2
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
@@ -57,7 +57,7 @@
     harness.run(30_000)
     assert not harness.gangs.alone
     for job_id in jobs:
-        assert harness.job(job_id).shown_state is JobState.SUCCEEDED, job_id
+        assert harness.job(job_id).visible_state is JobState.SUCCEEDED, job_id
 
 
 # One member is missing -------------------------------------------------------------
@@ -102,32 +102,32 @@
     """What the starts rest on ends between the first one and the last."""
     harness = with_gangs(make_harness)
     left = []
-    may_start = harness.cell.orders.may_start
+    may_start = harness.cell.commands.may_start
 
     def change_midway(run, now_ms):
         if len(left) == 2 and cause == "list":
-            harness.cell.context.workers_known_ms = now_ms - 4_000.0
+            harness.cell.context.worker_list_as_of_ms = now_ms - 4_000.0
         if len(left) == 2 and cause == "worker":
             run.worker.is_over = True
         may = may_start(run, now_ms)
         run.worker.is_over = False
-        harness.cell.context.workers_known_ms = float("inf")
+        harness.cell.context.worker_list_as_of_ms = float("inf")
         left.append(may)
         return may
 
-    harness.cell.orders.may_start = change_midway
+    harness.cell.commands.may_start = change_midway
     harness.submit(JOB, gang(4, estimated_ms=300_000))
     assert_whole_again(harness)
 
 
-@pytest.mark.parametrize("standstills", [0, 1, 2])
-def test_a_gang_that_waits_is_not_held_against_its_workers(make_harness, standstills):
+@pytest.mark.parametrize("stalls", [0, 1, 2])
+def test_a_gang_that_waits_is_not_held_against_its_workers(make_harness, stalls):
     """Each time that it counted as standing still, the next time it waited longer."""
     harness = with_gangs(make_harness)
     harness.refuse = only_first(StartRun, 2, Refusal.UNWELL)
     harness.submit(JOB, gang(4))
     for task in harness.job(JOB).steps[0].tasks:
-        task.standstills = standstills
+        task.stalls = stalls
     assert_whole_again(harness)
     assert not any(note.event == "run_stands_still" for note in harness.notes)
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_lives.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_incarnations.py
@@ -45,7 +45,7 @@
     hear(alone, listing(FIRST_BORN_MS + 1))
     new = followed(alone)
     assert old.is_over and new is not old
-    assert new.life == ("w0", FIRST_BORN_MS + 1) and not new.is_known
+    assert new.incarnation == ("w0", FIRST_BORN_MS + 1) and not new.is_known
 
 
 @pytest.mark.parametrize("born_epoch_ms", [FIRST_BORN_MS - 1, 0])
@@ -59,7 +59,7 @@
     hear(alone, listing(born_epoch_ms, clock_ms=10**9))
     assert followed(alone) is worker and worker.misses_in_row == misses + 1
     alone.run(3_000)
-    assert alone.job(JOB).shown_state is JobState.SUCCEEDED
+    assert alone.job(JOB).visible_state is JobState.SUCCEEDED
     assert len(alone.starts_of(f"{JOB}.0.0.0")) == 1
 
 
@@ -67,7 +67,7 @@
     old = followed(alone)
     hear(alone, listing(FIRST_BORN_MS + 1))
     hear(alone, listing(FIRST_BORN_MS, clock_ms=10**9), worker=old)
-    alone.cell.looks.on_miss(old, quick=False, now_ms=alone.now)
+    alone.cell.poller.on_poll_unanswered(old, quick=False, now_ms=alone.now)
     assert followed(alone).born_epoch_ms == FIRST_BORN_MS + 1
     assert not old.misses_in_row
 
@@ -92,7 +92,7 @@
     harness.submit(JOB, job_spec({"count": 3, "cpu_milli": 1_000}))
     harness.run(3_000)
     assert followed(harness) is worker
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 # Entries -------------------------------------------------------------------------
@@ -128,12 +128,12 @@
     assert followed(alone).is_known and not alone.running()
     alone.list_workers([evolve(old_entry, born_epoch_ms=FIRST_BORN_MS + 1)])
     alone.run(2_000)
-    assert alone.job(JOB).shown_state is JobState.SUCCEEDED
+    assert alone.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_life_that_is_over_is_not_followed_anew_while_its_entry_stands(alone):
     """From a day of restarts: its entry was taken and given up on each reading."""
-    alone.cell.on_other_life(followed(alone), now_ms=alone.now)
+    alone.cell.on_other_incarnation(followed(alone), now_ms=alone.now)
     for _ in range(3):
         alone.list_workers(list(alone.entries))
         alone.run(400)
@@ -168,7 +168,7 @@
     harness.list_workers([entry])
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 1_000}))
     harness.run(2_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 # What was under way ----------------------------------------------------------------
@@ -185,7 +185,7 @@
     harness.run(30)
     harness.submit(f"{1:016x}", job_spec({"count": 1, "cpu_milli": 1_000}))
     harness.run(10_000)
-    assert harness.job(f"{1:016x}").shown_state is JobState.SUCCEEDED
+    assert harness.job(f"{1:016x}").visible_state is JobState.SUCCEEDED
     assert len(harness.starts_of(f"{1:016x}.0.0.0")) == 1
     assert not twice_run(harness)
 
@@ -216,7 +216,7 @@
 def test_a_lease_that_the_new_life_may_have_taken_is_waited_for(alone):
     """Sent for the clock of before, it may reach as far as a worker lets it."""
     old = followed(alone)
-    alone.cell.looks.note_lease(old, 3_000.0, now_ms=alone.now)
+    alone.cell.poller.record_lease(old, 3_000.0, now_ms=alone.now)
     hear(alone, listing(FIRST_BORN_MS + 1))
     bounds = alone.cell.context.bounds
     assert followed(alone).runs_until_ms > alone.now + bounds.max_hold_ms
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_callers_who_leave.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
@@ -75,7 +75,7 @@
     without, stayed, _ = play(make_harness, seed, leavers=0)
     harness, _, left_ms = play(make_harness, seed)
     assert len(left_ms) >= LEAVERS // 2
-    assert all(harness.job(j).shown_state is JobState.SUCCEEDED for j in stayed)
+    assert all(harness.job(j).visible_state is JobState.SUCCEEDED for j in stayed)
     times = median(end_of(harness, job_id) for job_id in stayed)
     assert times < 0.85 * median(end_of(without, job_id) for job_id in stayed)
 
@@ -91,7 +91,7 @@
     ]
     # A start that had left before takes 3 ms.
     assert all(after_ms <= 3.0 for _, after_ms in late)
-    assert not harness.cell.context.owed_stops
+    assert not harness.cell.context.pending_stops
 
 
 @pytest.mark.parametrize("append_ms", [10.0, SLOW_APPEND_MS])
@@ -137,7 +137,7 @@
     harness.run(5_000)
     steps = {step.split(".")[0] for step, _ in harness.asked[asked:]}
     assert not steps & set(ids[1:-1])
-    assert harness.job(ids[-1]).shown_state is JobState.SUCCEEDED
+    assert harness.job(ids[-1]).visible_state is JobState.SUCCEEDED
 
 
 def test_workers_kept_for_a_step_are_given_back_in_the_next_turn(make_harness):
@@ -194,7 +194,7 @@
 def stops_of(harness, now_ms):
     """Return the jobs of the stops that a turn sends, in their order."""
     harness.cell.take_effects()
-    harness.cell.orders.send_stops(now_ms)
+    harness.cell.commands.send_stops(now_ms)
     effects = harness.cell.take_effects()
     stops = [effect.run for effect in effects if isinstance(effect, fx.StopRun)]
     return [run.task.step.job.job_id for run in stops]
@@ -246,7 +246,7 @@
     harness.take_over()
     harness.run(GONE_MS)
     assert not harness.running()
-    assert harness.job(LEAVES).shown_state is JobState.CANCELLED
+    assert harness.job(LEAVES).visible_state is JobState.CANCELLED
 
 
 def test_a_cancelling_that_was_not_stored_leaves_a_job_that_runs(make_harness):
@@ -319,12 +319,12 @@
     harness.workers["w1"].work_ms = 300.0
     harness.submit(STAYS, job_spec({"count": 4, "cpu_milli": 2_000}))
     harness.run(1_000)
-    assert harness.job(STAYS).shown_state is JobState.SUCCEEDED
+    assert harness.job(STAYS).visible_state is JobState.SUCCEEDED
     harness.run(4_000)
     away.advance(harness.now)
     assert not away.running
     assert not harness.runs_of("w0")
-    assert not harness.cell.context.owed_stops
+    assert not harness.cell.context.pending_stops
 
 
 def test_a_job_given_up_before_any_append_held_it_leaves_nothing(
@@ -338,10 +338,10 @@
     harness.run(20)
     assert len(harness.runs_of("w0")) == 4
     for job_id in (STAYS, LEAVES):  # the first is in the append under way
-        harness.cell.intake.give_up(job_id, now_ms=harness.now)
+        harness.cell.intake.abandon(job_id, now_ms=harness.now)
     assert len(harness.runs_of("w0")) == 1
     harness.run(10 * SLOW_APPEND_MS)
     assert harness.replies[LEAVES].outcome is Outcome.REFUSED
     assert not harness.starts_of(f"{LEAVES}.0.0.0")
     assert not any(LEAVES in key for key in harness.store)
-    assert harness.job(STAYS).shown_state is JobState.SUCCEEDED
+    assert harness.job(STAYS).visible_state is JobState.SUCCEEDED
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from thymefork_cells.specs import PARTS_PER_CELL, LimitParts, RoomLimit
+from thymefork_cells.specs import PARTS_PER_CELL, LimitParts, ResourceLimit
 
 from .cell_group import CellGroup
 from .harness import job_spec
@@ -109,10 +109,10 @@
 
 def test_an_accelerator_that_no_part_holds_can_be_used():
     """Of three accelerators no cell among five has a whole one."""
-    limit = RoomLimit(accelerators=3)
+    limit = ResourceLimit(accelerators=3)
     whole = CELLS * PARTS_PER_CELL
     assert limit.part(LimitParts.all_of(PARTS_PER_CELL), whole).accelerators == -1
-    one = LimitParts.of_room(RoomLimit(accelerators=1), limit, whole)
+    one = LimitParts.from_resources(ResourceLimit(accelerators=1), limit, whole)
     assert limit.part(one, whole).accelerators == 1
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts_in_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts_in_faults.py
@@ -9,7 +9,7 @@
 import pytest
 
 from thymefork_cells import effects as fx
-from thymefork_cells.accounts.quotas import UNKNOWN_ACCOUNT_MS
+from thymefork_cells.accounts.quotas import UNKNOWN_ACCOUNT_TIMEOUT_MS
 
 from .cell_group import CellGroup
 from .harness import job_spec
@@ -17,7 +17,7 @@
 
 SEEDS = 60
 # A version may be in force for so long after the next one, on the slowest sites.
-APPLIED_MS = UNKNOWN_ACCOUNT_MS
+APPLIED_MS = UNKNOWN_ACCOUNT_TIMEOUT_MS
 # A job with room stands still for no longer; callers count on 3 s.
 MOST_STILL_MS = 3_000.0
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crashes_at_random.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
@@ -6,7 +6,7 @@
 
 from thymefork_cells.effects import StartRun
 from thymefork_cells.state import JobState
-from thymefork_cells.workers.worker_losses import MOST_LOSSES
+from thymefork_cells.workers.worker_losses import MAX_LOSSES
 
 from .harness import Harness, job_spec
 from .test_trials import THREE_HALLS, crash_by, reachable, set_work_ms
@@ -31,11 +31,11 @@
     for job_id in bad:
         task = f"{job_id}.0.0.0"
         assert len(harness.starts_after_crashes(task, 3)) < 3, seed
-        assert harness.job(job_id).shown_state is JobState.FAILED, seed
+        assert harness.job(job_id).visible_state is JobState.FAILED, seed
     for job_id in good:
-        assert harness.job(job_id).shown_state is JobState.SUCCEEDED, seed
+        assert harness.job(job_id).visible_state is JobState.SUCCEEDED, seed
     for job_id in lasting:
-        assert harness.job(job_id).shown_state is JobState.RUNNING, seed
+        assert harness.job(job_id).visible_state is JobState.RUNNING, seed
 
 
 def _crashed(harness):
@@ -71,7 +71,7 @@
         harness.dead = True
         harness.run(300)
         harness.take_over()
-    elif kind == "crash" and len(harness.crashes) < MOST_LOSSES:
+    elif kind == "crash" and len(harness.crashes) < MAX_LOSSES:
         harness.crash(rng.choice(reachable(harness)))
     elif kind == "cut" and len(reachable(harness)) > 12:
         rng.choice(reachable(harness)).cut = True
@@ -100,7 +100,7 @@
         for worker in rng.sample(reachable(harness), 6):
             harness.crash(worker)
     harness.run(40_000)
-    return [harness.job(job_id).shown_state for job_id in jobs]
+    return [harness.job(job_id).visible_state for job_id in jobs]
 
 
 @pytest.mark.parametrize(
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_room_changes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_room_changes.py
@@ -46,7 +46,7 @@
     assert not harness.running()
     resize_all(harness, 8_000)
     harness.run(1_200)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_worker_without_room_is_no_worker_to_use(make_harness):
@@ -128,7 +128,7 @@
     assert harness.job(JOB).state is JobState.RUNNING
     harness.resize("w1", 8_000)
     harness.run(6_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_task_goes_where_it_fits_once_its_worker_has_shrunk(make_harness):
@@ -136,7 +136,7 @@
     harness.resize("w0", 2_000)
     harness.submit(JOB, job_spec({"count": 3, "cpu_milli": 5_000}))
     harness.run(5_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert {worker for worker, _, _ in harness.starts_of(f"{JOB}.0.0.0")} == {"w1"}
 
 
@@ -173,28 +173,28 @@
 
 def test_nothing_starts_by_a_list_that_was_read_too_long_ago(harness):
     """From the soak: work went out by the list from before an outage, or a pause."""
-    harness.cell.context.workers_known_ms = harness.now
+    harness.cell.context.worker_list_as_of_ms = harness.now
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(2_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     harness.run(1_500)
     harness.submit(NEXT, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(2_000)
     assert not harness.starts_of(f"{NEXT}.0.0.0")
-    harness.cell.context.workers_known_ms = harness.now
+    harness.cell.context.worker_list_as_of_ms = harness.now
     harness.run(1_500)
-    assert harness.job(NEXT).shown_state is JobState.SUCCEEDED
+    assert harness.job(NEXT).visible_state is JobState.SUCCEEDED
 
 
 def test_a_start_decided_before_a_pause_is_decided_again_after_it(harness):
-    harness.cell.context.workers_known_ms = harness.now
+    harness.cell.context.worker_list_as_of_ms = harness.now
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(8)
     (run,) = harness.job(JOB).runs
-    assert not harness.cell.orders.may_start(run, harness.now + 5_000)
+    assert not harness.cell.commands.may_start(run, harness.now + 5_000)
     assert not harness.job(JOB).runs
     harness.run(1_500)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_ends_heard_in_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
@@ -66,7 +66,7 @@
 
 
 def begin_outage(harness):
-    harness.store_down = harness.cell.context.store_is_away = True
+    harness.store_down = harness.cell.context.is_store_unavailable = True
 
 
 def replace_owner(harness):
@@ -98,7 +98,7 @@
     harness.run(STANDSTILL_BOUND_MS)
     assert starts_of_step(harness, 1, 2) == [1, 1]
     assert starts_of_step(harness, 0, 4) == [1, 1, 1, 1]
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_what_was_heard_outlives_two_owners(make_harness):
@@ -129,7 +129,7 @@
     leave(harness, (first,))
     replace_owner(harness)
     harness.run(STANDSTILL_BOUND_MS)
-    assert harness.job(JOB).shown_state is JobState.FAILED
+    assert harness.job(JOB).visible_state is JobState.FAILED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
 
 
@@ -145,7 +145,7 @@
     replace_owner(harness)
     harness.run(STANDSTILL_BOUND_MS)
     assert harness.job(JOB).steps[0].tasks[0].failures == 1
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def submit_jobs(harness, count):
@@ -169,7 +169,7 @@
                 continue
             since_ms = idle_since_ms.setdefault(job.job_id, harness.now)
             longest_ms = max(longest_ms, harness.now - since_ms)
-    assert all(job.shown_state is JobState.SUCCEEDED for job in jobs)
+    assert all(job.visible_state is JobState.SUCCEEDED for job in jobs)
     return longest_ms
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_store_outages.py
@@ -82,7 +82,7 @@
     harness.run(100)
     harness.take_store_away(for_ms=7_000)
     harness.run(500)
-    assert harness.job("b" * 16).shown_state is JobState.SUCCEEDED
+    assert harness.job("b" * 16).visible_state is JobState.SUCCEEDED
     assert len(harness.starts_of(f"{'b' * 16}.0.0.0")) == 1
 
 
@@ -113,7 +113,7 @@
         report = harness.workers[worker.worker_id].look(
             worker.fence(2), 0, 0, harness.now
         )
-        cell.looks.on_report(worker, report, 0, now_ms=paused_until_ms)
+        cell.poller.on_report(worker, report, 0, now_ms=paused_until_ms)
     assert not cell.quorum.is_held(paused_until_ms)
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_uneven_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_uneven_workers.py
@@ -44,7 +44,7 @@
             if self.is_fast(worker.worker_id)
         ]
         had_room = any(
-            worker.has_room(run.step) or worker is run.worker for worker in fast
+            worker.has_capacity(run.step) or worker is run.worker for worker in fast
         )
         is_fast = self.is_fast(run.worker.worker_id)
         job = run.task.step.job
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_restarts_under_an_id.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_worker_restarts.py
@@ -28,9 +28,9 @@
 
 import pytest
 
-from thymefork_cells.effects import LookAt, StartRun, StopRun
+from thymefork_cells.effects import PollWorker, StartRun, StopRun
 from thymefork_cells.state import JobState
-from thymefork_cells.workers.worker_losses import MOST_CRASHES
+from thymefork_cells.workers.worker_losses import MAX_CRASHES
 
 from .harness import job_spec
 from .run_rules import longest_absence_ms, twice_run
@@ -48,7 +48,7 @@
 def run_to_the_end(harness, job_id, step):
     harness.submit(job_id, job_spec(step))
     harness.run(2_000)
-    assert harness.job(job_id).shown_state is JobState.SUCCEEDED
+    assert harness.job(job_id).visible_state is JobState.SUCCEEDED
 
 
 # One restart -------------------------------------------------------------------
@@ -98,7 +98,7 @@
     absences_ms = [longest_absence_ms(harness, task, began_ms) for task in tasks]
     assert max(absences_ms) < 1_000.0
     harness.run(5_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert not twice_run(harness)
 
 
@@ -127,7 +127,7 @@
     harness.restart(harness.workers[late[0]], away_ms=100.0)
     harness.run(20_000)
     assert not twice_run(harness)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 @pytest.mark.parametrize("entry_after_ms", [0.0, 500.0])
@@ -147,7 +147,7 @@
     harness.crashes_after_ms = lambda name: 10.0 if name == task else None
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 1_000}))
     harness.run(60_000)
-    assert harness.job(JOB).shown_state is JobState.FAILED
+    assert harness.job(JOB).visible_state is JobState.FAILED
     assert len(harness.starts_after_crashes(task, 3)) < 3
 
 
@@ -186,7 +186,7 @@
     calm_ms = harness.now + 12_000
     harness.run(30_000)
     assert not twice_run(harness), (kind, seed)
-    states = {job_id: harness.job(job_id).shown_state for job_id in jobs}
+    states = {job_id: harness.job(job_id).visible_state for job_id in jobs}
     given_up = _given_up(harness)
     wrong = [job_id for job_id in jobs if states[job_id] is not JobState.SUCCEEDED]
     assert set(wrong) <= given_up, (kind, seed, wrong)
@@ -217,7 +217,7 @@
     runs = [run for worker in harness.workers.values() for run in worker.history]
     crashes = Counter(run.task for run in runs if not run.is_noted)
     crashes.update(harness.carrier.starts_unanswered)
-    assert all(crashes[task] >= MOST_CRASHES for task in judged), judged
+    assert all(crashes[task] >= MAX_CRASHES for task in judged), judged
     return {task.split(".")[0] for task in judged}
 
 
@@ -234,7 +234,7 @@
 
 
 def _let_orders_come_late(harness, rng):
-    kinds = (StartRun, StopRun, LookAt)
+    kinds = (StartRun, StopRun, PollWorker)
 
     def late_ms(effect):
         if isinstance(effect, kinds) and rng.random() < 0.05:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
@@ -2,7 +2,7 @@
 
 from attrs import define, field
 
-from thymefork_cells import EndRow, OrderAnswer, Refusal, RunRow, WorkerReport
+from thymefork_cells import CommandAnswer, EndRow, Refusal, RunRow, WorkerReport
 
 # A lease may reach this far from when it is taken; a longer one is cut.
 MAX_HOLD_MS = 10_000.0
@@ -150,7 +150,7 @@
             self.paces[task, run_id] = 100
             self.starts.append((task, run_id, now_ms))
             refusal = Refusal.NONE
-        return OrderAnswer(refusal=refusal, clock_ms=self.clock(now_ms))
+        return CommandAnswer(refusal=refusal, clock_ms=self.clock(now_ms))
 
     def _take_lease(self, deadline_clock_ms, now_ms):
         if now_ms > self.lease_until_ms:
@@ -171,24 +171,24 @@
     def stop(self, task, run_id, fence, now_ms):
         self.advance(now_ms)
         if fence < self.fence:
-            return OrderAnswer(refusal=Refusal.FENCED, clock_ms=self.clock(now_ms))
+            return CommandAnswer(refusal=Refusal.FENCED, clock_ms=self.clock(now_ms))
         if self.idle_stops:
             self.idle_stops -= 1
-            return OrderAnswer(clock_ms=self.clock(now_ms))
+            return CommandAnswer(clock_ms=self.clock(now_ms))
         self.closed[task] = max(run_id, self.closed.get(task, 0))
         run = self.running.get((task, run_id))
         if run is not None and run.stops_ms is None:
             run.stops_ms = now_ms + self.stop_takes_ms
         self.advance(now_ms)
-        return OrderAnswer(clock_ms=self.clock(now_ms))
+        return CommandAnswer(clock_ms=self.clock(now_ms))
 
     def pace(self, task, run_id, percent, fence, now_ms):
         self.advance(now_ms)
         if fence < self.fence:
-            return OrderAnswer(refusal=Refusal.FENCED, clock_ms=self.clock(now_ms))
+            return CommandAnswer(refusal=Refusal.FENCED, clock_ms=self.clock(now_ms))
         if (task, run_id) in self.running:
             self.paces[task, run_id] = percent
-        return OrderAnswer(clock_ms=self.clock(now_ms))
+        return CommandAnswer(clock_ms=self.clock(now_ms))
 
     def look(self, fence, last_end, deadline_clock_ms, now_ms):
         self.advance(now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/workers/watch.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/progress_monitor.py
@@ -2,7 +2,7 @@
 
 from ..state import RunState
 
-__all__ = ["Watch"]
+__all__ = ["ProgressMonitor"]
 
 # A run whose progress has not changed for this long while its worker answers stands
 # still. Progress is told in whole percent, so for tasks over 50 s it is this share of
@@ -18,7 +18,7 @@
 FRESH_MS = 900.0
 
 
-class Watch:
+class ProgressMonitor:
     """Stop what stands still; move what would end sooner elsewhere."""
 
     def __init__(self, *, context, lifecycle, images):
@@ -65,7 +65,7 @@
         return self._images.late_ms(run, now_ms) > 0
 
     def _move(self, run, now_ms):
-        run.task.avoided.add(run.worker.worker_id)
+        run.task.avoided_workers.add(run.worker.worker_id)
         self._context.count("run_ends", "moved_from_slow_worker")
         self._context.note(
             "run_moves",
@@ -84,16 +84,16 @@
             return False
         if run.step.gang and run.percent >= 100:
             return False  # it waits for slower members: a gang ends as one
-        if run.step.gang and not run.task.step.is_whole(run.run_id):
+        if run.step.gang and not run.task.step.is_gang_complete(run.run_id):
             return False  # it waits for members that are missing (see gang_watch.py)
         usual_ms = self._images.expected_ms(run.step, run.worker)
         patience_ms = max(STANDSTILL_MS, STANDSTILL_SHARE * usual_ms)
-        patience_ms *= 2**run.task.standstills
+        patience_ms *= 2**run.task.stalls
         return run.listed_ms - run.percent_changed_ms > patience_ms
 
     def _stop_still(self, run, now_ms):
-        run.task.avoided.add(run.worker.worker_id)
-        run.task.standstills += 1
+        run.task.avoided_workers.add(run.worker.worker_id)
+        run.task.stalls += 1
         run.worker.health.pause(now_ms)
         self._context.count("run_ends", "stood_still")
         self._context.note(
--- a/packages/thymefork-daemon/src/thymefork_daemon/handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/handover.py
@@ -81,7 +81,7 @@
             return False
         if self._store_is_slow():
             return False
-        return not any(owner.store_is_away for owner in daemon.owners.values())
+        return not any(owner.is_store_unavailable for owner in daemon.owners.values())
 
     def _store_is_slow(self):
         """Tell whether the store is slow for all, not for this instance alone.
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pump.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pump.py
@@ -74,7 +74,7 @@
         return not self._failing and self._silent_ms() < UNANSWERED_MS
 
     @property
-    def store_is_away(self):
+    def is_store_unavailable(self):
         """Tell whether the store has not taken an append for too long."""
         return self._failing or self._silent_ms() >= AWAY_MS
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -82,7 +82,7 @@
             timers=self._daemon.timers,
             metrics=self._daemon.metrics,
             instance=self._daemon.settings.instance,
-            turn=self.cell_index / max(1, self._daemon.layout.cells),
+            run_cycle=self.cell_index / max(1, self._daemon.layout.cells),
             on_answer=self._on_advice,
             tell_withdrawn=lambda *call: self._daemon.peers.withdraw_advice(*call),
         )
@@ -114,9 +114,9 @@
         return self._pump.is_answered
 
     @property
-    def store_is_away(self):
+    def is_store_unavailable(self):
         """Tell whether the store takes no appends, rather than takes long for them."""
-        return self._pump.store_is_away
+        return self._pump.is_store_unavailable
 
     @property
     def _is_live(self):
@@ -182,7 +182,7 @@
         except Exception:
             self._on_takeover_failed()
         else:
-            self._turns.turn()
+            self._turns.run_cycle()
 
     def _on_takeover_failed(self):
         """Let another instance take the cell, rather than hold it unserved for ever."""
@@ -208,11 +208,11 @@
             pump=self._pump,
             performer=self._performer,
             timers=self._daemon.timers,
-            workers_known_ms=lambda: self._daemon.worker_list.known_ms,
+            worker_list_as_of_ms=lambda: self._daemon.worker_list.known_ms,
             advice_slots=self._advisers.wanted_slots,
             load_watch=self._daemon.owner_load,
         )
-        cell.roster.update(self._daemon.worker_list.entries.values(), now_ms=now_ms)
+        cell.registry.update(self._daemon.worker_list.entries.values(), now_ms=now_ms)
         heard = self._daemon.heard_ends.before(self.cell_index, self.epoch)
         cell.inherited_ends.apply(heard, now_ms=now_ms)
         speeds = self._daemon.learned_speeds.of(self.cell_index)
@@ -222,7 +222,7 @@
         self._log("ownership_gained").bind(
             records=len(records),
             jobs=len(cell.context.jobs),
-            unlisted_workers=cell.roster.unlisted_count,
+            unlisted_workers=cell.registry.unlisted_count,
             after_ms=round(now_ms - self._began_ms),
         ).info("serving the cell")
         self.on_links()
@@ -255,7 +255,7 @@
         """Take the platform's list of workers."""
         if self._is_live:
             entries = self._daemon.worker_list.entries.values()
-            self.cell.roster.update(entries, now_ms=steady_ms())
+            self.cell.registry.update(entries, now_ms=steady_ms())
             self.settle()
 
     def on_configuration(self, configuration):
@@ -279,7 +279,7 @@
             self.settle()
 
     def _on_ends_stored(self, worker, last_end, *, now_ms):
-        self.cell.looks.on_ends_stored(worker, last_end, now_ms=now_ms)
+        self.cell.poller.on_ends_stored(worker, last_end, now_ms=now_ms)
 
     def _tell_members(self, ends):
         self._daemon.heard_ends.tell(self.cell_index, self.epoch, ends)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_performer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_performer.py
@@ -73,7 +73,7 @@
         self._metrics.observe(effect.name, effect.value_ms, kind=effect.kind)
 
     @_perform.register
-    def _ask_advice(self, effect: fx.AskAdvice):
+    def _ask_advice(self, effect: fx.RequestAdvice):
         self._advisers.ask(effect)
 
     @_perform.register
@@ -81,17 +81,17 @@
         self._on_ends_stored(effect.worker, effect.last_end, now_ms=steady_ms())
 
     @_perform.register
-    def _ends_told(self, effect: fx.TellEnds):
+    def _ends_told(self, effect: fx.AnnounceEnds):
         self._tell_ends(effect.ends)
 
     @_perform.register
-    def _speeds_told(self, effect: fx.TellSpeeds):
+    def _speeds_told(self, effect: fx.AnnounceSpeeds):
         self._tell_speeds(effect.speeds)
 
     @_perform.register
-    def _move_parts(self, effect: fx.AskParts | fx.GrantParts | fx.HoldParts):
+    def _move_parts(self, effect: fx.RequestParts | fx.GrantParts | fx.ReportHeldParts):
         self._send_parts(effect)
 
     @_perform.register
-    def _order(self, effect: fx.StartRun | fx.StopRun | fx.PaceRun | fx.LookAt):
+    def _order(self, effect: fx.StartRun | fx.StopRun | fx.PaceRun | fx.PollWorker):
         self._orders.send(effect)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
@@ -3,7 +3,7 @@
 from functools import singledispatchmethod
 
 from thymefork_cells import Refusal, effects as fx
-from thymefork_cells.workers.looks import LEASE_MS
+from thymefork_cells.workers.worker_poller import LEASE_MS
 from thymefork_net import steady_ms
 
 __all__ = ["OrderSender"]
@@ -28,10 +28,10 @@
     @send.register
     def _start(self, effect: fx.StartRun):
         run, now_ms = effect.run, steady_ms()
-        if not self._cell.orders.may_start(run, now_ms):
+        if not self._cell.commands.may_start(run, now_ms):
             return
         worker, step = run.worker, run.task.step
-        self._cell.looks.note_lease(worker, LEASE_MS, now_ms=now_ms)
+        self._cell.poller.record_lease(worker, LEASE_MS, now_ms=now_ms)
         self._client.start(
             run=run,
             payload=step.job.spec.payload,
@@ -76,7 +76,7 @@
         )
 
     def _on_stop(self, run, worker, answer):
-        if isinstance(run, fx.StrayRun) or not self._heed(answer.refusal, worker):
+        if isinstance(run, fx.OrphanedRun) or not self._heed(answer.refusal, worker):
             return
         self._cell.on_stop(run, answer, now_ms=steady_ms())
         self._owner.settle()
@@ -100,12 +100,12 @@
         self._owner.settle()
 
     @send.register
-    def _look(self, effect: fx.LookAt):
+    def _look(self, effect: fx.PollWorker):
         worker, now_ms = effect.worker, steady_ms()
         deadline_ms = 0.0
         if effect.lease_ms and self._owner.may_renew():
             deadline_ms = worker.clock_ms(now_ms) + effect.lease_ms
-            self._cell.looks.note_lease(worker, effect.lease_ms, now_ms=now_ms)
+            self._cell.poller.record_lease(worker, effect.lease_ms, now_ms=now_ms)
         self._client.look(
             worker=worker,
             wait_ms=effect.wait_ms,
@@ -129,7 +129,9 @@
                 now_ms=now_ms,
             )
         elif result.refusal is Refusal.OTHER_LIFE:
-            self._cell.on_other_life(worker, now_ms=now_ms)
+            self._cell.on_other_incarnation(worker, now_ms=now_ms)
         else:
-            self._cell.looks.on_miss(worker, quick=effect.quick, now_ms=now_ms)
+            self._cell.poller.on_poll_unanswered(
+                worker, quick=effect.quick, now_ms=now_ms
+            )
         self._owner.settle()
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
@@ -52,13 +52,13 @@
 
     def _bound_wait(self, job_id, patience_ms):
         """Have a job given up that no append has held by the end of a wait."""
-        if patience_ms > REPLY_MARGIN_MS and self._journal.is_untaken(job_id):
+        if patience_ms > REPLY_MARGIN_MS and self._journal.is_unsent(job_id):
             delay_ms = patience_ms - REPLY_MARGIN_MS
             self._timers.after(delay_ms, lambda: self._give_up(job_id))
 
     def _give_up(self, job_id):
-        if self._journal.is_untaken(job_id):
-            self._intake.give_up(job_id, now_ms=steady_ms())
+        if self._journal.is_unsent(job_id):
+            self._intake.abandon(job_id, now_ms=steady_ms())
             self._settle()
 
     def give_back(self):
@@ -66,7 +66,7 @@
 
         No append has held these jobs, and none of this ownership will.
         """
-        for reply in self._journal.take_replies_of_untaken():
+        for reply in self._journal.take_replies_of_unsent():
             self._metrics.count("refusals", "given_back")
             line = logger.bind(event="job_withdrawn", job=reply.job_id)
             line.bind(reason="the cell was lost before").info("nothing was stored")
@@ -74,14 +74,14 @@
             respond(fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER))
 
     def _store_is_away(self):
-        return self._pump.store_is_away or not self._ownership.is_certain()
+        return self._pump.is_store_unavailable or not self._ownership.is_certain()
 
     def _needs_no_append(self, kind, job_id):
         """Tell whether a request is about what is stored, or on its way, already."""
         if kind == "read":
-            return self._intake.knows(job_id)
+            return self._intake.is_stored(job_id)
         if kind == "submit":
-            return self._intake.has_seen(job_id)
+            return self._intake.has_job(job_id)
         return kind == "count"
 
     def _refuse(self, respond):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/turn_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/turn_loop.py
@@ -26,7 +26,7 @@
 class TurnLoop:
     """Let a cell take its turns; perform its effects and store its records.
 
-    Performing an effect may lose the cell and so end the loop. `workers_known_ms()` is
+    Performing an effect may lose the cell and so end the loop. `worker_list_as_of_ms()` is
     since when at the latest the list of workers may have changed unseen;
     `advice_slots()` is how many calls for advice may be made now; `load_watch` takes
     how late and long turns are, and tells what to put off.
@@ -40,7 +40,7 @@
         pump,
         performer,
         timers,
-        workers_known_ms,
+        worker_list_as_of_ms,
         advice_slots=lambda: None,
         load_watch=None,
     ):
@@ -49,7 +49,7 @@
         self._pump = pump
         self._performer = performer
         self._timers = timers
-        self._workers_known_ms = workers_known_ms
+        self._workers_known_ms = worker_list_as_of_ms
         self._advice_slots = advice_slots
         self._load_watch = load_watch
         self._ended = False
@@ -74,7 +74,7 @@
         self._perform_effects()
         self._schedule(min(self._turn_due_ms, steady_ms() + TURN_MS))
 
-    def turn(self):
+    def run_cycle(self):
         """Let the cell decide, store what it has to and do what it wants.
 
         Looks, leases and stops depend on turns, so one that fails is followed by
@@ -96,14 +96,14 @@
         self._schedule(due_ms)
 
     def _decide(self, now_ms):
-        self._cell.context.store_is_away = not self._ownership.is_renewed()
-        self._cell.context.workers_known_ms = self._workers_known_ms()
+        self._cell.context.is_store_unavailable = not self._ownership.is_renewed()
+        self._cell.context.worker_list_as_of_ms = self._workers_known_ms()
         self._cell.context.advice_slots = self._advice_slots()
         if self._load_watch is not None:
             sheds = self._load_watch.shedding.sheds
-            self._cell.context.delays_idle_looks = sheds(Sheddable.IDLE_LOOKS)
-            self._cell.context.delays_early_advice = sheds(Sheddable.EARLY_ADVICE)
-        due_ms = self._cell.turn(now_ms)
+            self._cell.context.defers_idle_polls = sheds(Sheddable.IDLE_LOOKS)
+            self._cell.context.defers_early_advice = sheds(Sheddable.EARLY_ADVICE)
+        due_ms = self._cell.run_cycle(now_ms)
         self._perform_effects()
         if self._lingers(now_ms):
             return min(due_ms, self._lingers_since_ms + LINGER_MS)
@@ -117,14 +117,14 @@
             return
         self._timers.cancel(self._turn_timer)
         self._turn_due_ms = due_ms
-        self._turn_timer = self._timers.at(due_ms, self.turn)
+        self._turn_timer = self._timers.at(due_ms, self.run_cycle)
 
     # Storing -----------------------------------------------------------------
 
     def _lingers(self, now_ms):
         """Tell whether the records that wait may wait for others."""
         journal = self._cell.journal
-        if journal.is_empty or journal.is_urgent or self._pump.store_is_away:
+        if journal.is_empty or journal.is_urgent or self._pump.is_store_unavailable:
             self._lingers_since_ms = 0.0
             return False
         self._lingers_since_ms = self._lingers_since_ms or now_ms
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/group_of_instances.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/group_of_instances.py
@@ -144,7 +144,7 @@
         elif not self.owners:
             self.owners[0] = SimpleNamespace(
                 is_serving=not self.takes_over_slowly,
-                store_is_away=False,
+                is_store_unavailable=False,
                 has_unstored=False,
                 epoch=1,
                 tell_ends=self._tell_ends,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advisers.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advisers.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from thymefork_cells.effects import AskAdvice
+from thymefork_cells.effects import RequestAdvice
 from thymefork_daemon.owner import Advisers, advisers as advisers_module
 
 from .fakes import FakeMetrics
@@ -57,7 +57,7 @@
 
 def long_call(name="s", cost_ms=900.0):
     step = SimpleNamespace(name=name, job=SimpleNamespace(is_live=True))
-    return AskAdvice(step=step, worker_ids=("w",), cost_ms=cost_ms, priority=1)
+    return RequestAdvice(step=step, worker_ids=("w",), cost_ms=cost_ms, priority=1)
 
 
 def note_steps(names):
@@ -98,7 +98,7 @@
     for _ in range(20):
         advisers.ask(long_call())
     step = SimpleNamespace(name="late", job=SimpleNamespace(is_live=True))
-    advisers.ask(AskAdvice(step=step, worker_ids=("w",), cost_ms=900.0, priority=2))
+    advisers.ask(RequestAdvice(step=step, worker_ids=("w",), cost_ms=900.0, priority=2))
     for _ in range(12):
         timers.run(250)
         advisers.ask(long_call())
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_pump.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_pump.py
@@ -66,11 +66,11 @@
 def test_what_was_not_stored_comes_back_and_its_number_is_used_again(pump):
     _, back = send(pump, "a")
     answer(pump, AppendOutcome.NOT_STORED)
-    assert len(back) == 1 and pump.store_is_away
+    assert len(back) == 1 and pump.is_store_unavailable
     stored, _ = send(pump, "b")
     answer(pump, AppendOutcome.STORED)
     assert len(stored) == 1 and sequences(pump) == [1, 1]
-    assert not pump.store_is_away
+    assert not pump.is_store_unavailable
 
 
 def test_what_may_be_stored_never_comes_back(pump, timers):
@@ -89,9 +89,9 @@
 
 def test_a_long_append_means_that_the_store_is_away(pump, timers):
     send(pump, "a")
-    assert not pump.store_is_away
+    assert not pump.is_store_unavailable
     timers.run(1_100)
-    assert pump.store_is_away
+    assert pump.is_store_unavailable
 
 
 def test_an_append_without_an_answer_is_sent_beside_the_first(pump, timers):
@@ -127,6 +127,6 @@
 def test_a_silent_store_counts_as_away_after_a_second(pump, timers):
     send(pump, "a")
     timers.run(950)
-    assert not pump.store_is_away
+    assert not pump.is_store_unavailable
     timers.run(100)
-    assert pump.store_is_away
+    assert pump.is_store_unavailable
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_in_doubt.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_in_doubt.py
@@ -138,7 +138,7 @@
     answer(writer, calls_of(writer, 3)[0], AppendOutcome.OUT_OF_SEQUENCE, wanted=2)
     assert not writer.back
     answer(writer, calls_of(writer, 4)[0], AppendOutcome.OUT_OF_SEQUENCE, wanted=2)
-    assert writer.back == writer.sent[::-1] and writer.pump.store_is_away
+    assert writer.back == writer.sent[::-1] and writer.pump.is_store_unavailable
     writer.send("d")
     assert writer.store.appends[-1]["sequence"] == 2
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_at_a_slow_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_at_a_slow_store.py
@@ -70,9 +70,9 @@
             pump=self.pump,
             performer=SimpleNamespace(perform=self.perform),
             timers=timers,
-            workers_known_ms=lambda: timers.now_ms,
+            worker_list_as_of_ms=lambda: timers.now_ms,
         )
-        self.loop.turn()
+        self.loop.run_cycle()
         self.ask()
 
     def draw(self, number):
@@ -134,6 +134,6 @@
     assert accepted == set(owner.cell.context.jobs)
     newest = dict(owner.store.stored)
     for job_id, job in owner.cell.context.jobs.items():
-        assert job.shown_state is job.state
+        assert job.visible_state is job.state
         is_described = bool(newest.get(JOB_KEY + job_id))
         assert is_described == (job.state is JobState.QUEUED)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
@@ -232,11 +232,11 @@
     """Joins are answered, appends are not: a takeover would not come to its end."""
     group.run(5_000)
     first = group.owner
-    first.owners[0].store_is_away = True
+    first.owners[0].is_store_unavailable = True
     overload(first)
     group.run(5_000)
     assert group.owner is first
-    first.owners[0].store_is_away = False
+    first.owners[0].is_store_unavailable = False
     group.run(3_000)
     assert group.owner is not first
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_order_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_order_sender.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from thymefork_cells import OrderAnswer, Refusal, effects as fx
+from thymefork_cells import CommandAnswer, Refusal, effects as fx
 from thymefork_cells.specs import WorkerEntry
 from thymefork_cells.state import Run, RunState, Worker
 from thymefork_daemon.owner.order_sender import OrderSender
@@ -71,7 +71,7 @@
 
 def test_a_newer_owners_fence_loses_the_cell(owner, client):
     stop = send_stop(owner, client, life())
-    stop["done"](OrderAnswer(refusal=Refusal.FENCED, clock_ms=5))
+    stop["done"](CommandAnswer(refusal=Refusal.FENCED, clock_ms=5))
     assert owner.lost and not owner.heard
 
 
@@ -79,7 +79,7 @@
     worker = life()
     stop = send_stop(owner, client, worker)
     worker.is_over = True
-    stop["done"](OrderAnswer(refusal=Refusal.FENCED, clock_ms=5))
+    stop["done"](CommandAnswer(refusal=Refusal.FENCED, clock_ms=5))
     assert not owner.lost and owner.heard == [Refusal.FENCED]
 
 
@@ -94,8 +94,8 @@
     task = SimpleNamespace(step=step, checkpoint="")
     run = Run(task=task, run_id=1, worker=worker, state=RunState.SENT)
     worker.clock_offset_ms = 0.0
-    owner.cell.orders = SimpleNamespace(may_start=lambda run, now_ms: True)
-    owner.cell.looks = SimpleNamespace(note_lease=lambda *row, now_ms: None)
+    owner.cell.commands = SimpleNamespace(may_start=lambda run, now_ms: True)
+    owner.cell.poller = SimpleNamespace(record_lease=lambda *row, now_ms: None)
     OrderSender(owner=owner, client=client).send(fx.StartRun(run=run))
     (start,) = client.starts
     assert start["wanted"]()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_part_courier.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_part_courier.py
@@ -23,7 +23,7 @@
 OWN = Address(host="10.0.0.1", port=7000)
 PEER = Address(host="10.0.0.2", port=7000)
 PARTS = LimitParts(cpu=3, memory=2_000_000_000_000, accelerators=0)
-ASK = fx.AskParts(
+ASK = fx.RequestParts(
     account="a",
     borrower=0,
     borrower_epoch=4,
@@ -43,7 +43,7 @@
     parts=PARTS,
     free=LimitParts(),
 )
-HOLD = fx.HoldParts(
+HOLD = fx.ReportHeldParts(
     account="a",
     borrower=0,
     borrower_epoch=4,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
@@ -19,10 +19,10 @@
     def __init__(self):
         self.asked = []
 
-    def knows(self, job_id):
+    def is_stored(self, job_id):
         return job_id == STORED
 
-    def has_seen(self, job_id):
+    def has_job(self, job_id):
         return job_id in (STORED, ON_ITS_WAY)
 
     def read(self, respond, job_id, *, account_name):
@@ -43,7 +43,7 @@
     handler = RequestHandler(
         cell=SimpleNamespace(intake=intake, journal=Journal()),
         ownership=SimpleNamespace(is_certain=lambda: is_certain),
-        pump=SimpleNamespace(store_is_away=pump_says_away),
+        pump=SimpleNamespace(is_store_unavailable=pump_says_away),
         metrics=metrics,
         timers=None,  # where nothing is told of a caller's patience, none is needed
         settle=lambda: None,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_turn_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_turn_loop.py
@@ -33,14 +33,14 @@
 
 class FakeCell:
     def __init__(self):
-        self.context = SimpleNamespace(store_is_away=None)
+        self.context = SimpleNamespace(is_store_unavailable=None)
         self.journal = FakeJournal()
         self.effects = []
         self.turns_ms = []
         self.stored = []
         self.not_stored = []
 
-    def turn(self, now_ms):
+    def run_cycle(self, now_ms):
         self.turns_ms.append(now_ms)
         return now_ms + FAR_MS
 
@@ -57,7 +57,7 @@
 
 class FakePump:
     open_ms = 0.0
-    store_is_away = False
+    is_store_unavailable = False
 
     def __init__(self):
         self.sent = []
@@ -80,9 +80,9 @@
         pump=pump,
         performer=SimpleNamespace(perform=performed.extend),
         timers=timers,
-        workers_known_ms=lambda: 0.0,
+        worker_list_as_of_ms=lambda: 0.0,
     )
-    loop.turn()
+    loop.run_cycle()
     return SimpleNamespace(
         loop=loop, cell=cell, pump=pump, performed=performed, ownership=ownership
     )
@@ -111,10 +111,10 @@
 
 def test_a_turn_that_fails_is_followed_by_another(parts, timers):
     def fail(now_ms):
-        parts.cell.turn = FakeCell.turn.__get__(parts.cell)
+        parts.cell.run_cycle = FakeCell.run_cycle.__get__(parts.cell)
         raise ArithmeticError
 
-    parts.cell.turn = fail
+    parts.cell.run_cycle = fail
     parts.loop.settle()
     with pytest.raises(ArithmeticError):
         timers.run(TURN_MS)
@@ -135,7 +135,7 @@
 def test_other_records_are_stored_at_the_next_turn(parts, timers, reason):
     parts.cell.journal.waiting = ["a job"]
     parts.cell.journal.is_urgent = reason == "is_urgent"
-    parts.pump.store_is_away = reason == "store_is_away"
+    parts.pump.is_store_unavailable = reason == "store_is_away"
     parts.loop.settle()
     timers.run(TURN_MS)
     assert len(parts.pump.sent) == 1
@@ -215,8 +215,8 @@
 @pytest.mark.parametrize("renewed", [True, False])
 def test_the_cell_knows_whether_the_store_is_away(parts, timers, renewed):
     parts.ownership.is_renewed = lambda: renewed
-    parts.loop.turn()
-    assert parts.cell.context.store_is_away is not renewed
+    parts.loop.run_cycle()
+    assert parts.cell.context.is_store_unavailable is not renewed
 
 
 def test_an_ended_loop_takes_no_turn_and_performs_nothing(parts, timers):
@@ -224,7 +224,7 @@
     parts.cell.effects = ["an order"]
     parts.loop.end()
     parts.loop.settle()
-    parts.loop.turn()
+    parts.loop.run_cycle()
     timers.run(2 * FAR_MS)
     assert len(parts.cell.turns_ms) == 1
     assert not parts.pump.sent and not parts.performed
@@ -245,18 +245,18 @@
         pump=FakePump(),
         performer=SimpleNamespace(perform=lambda effects: None),
         timers=timers,
-        workers_known_ms=lambda: 0.0,
+        worker_list_as_of_ms=lambda: 0.0,
         load_watch=SimpleNamespace(load=load, shedding=shedding),
     )
-    loop.turn()
-    assert cell.context.delays_idle_looks and not cell.context.delays_early_advice
-    decide = cell.turn
+    loop.run_cycle()
+    assert cell.context.defers_idle_polls and not cell.context.defers_early_advice
+    decide = cell.run_cycle
 
     def decide_for_long(now_ms):
         timers.now_ms += 50.0
         return decide(now_ms)
 
-    cell.turn = decide_for_long
+    cell.run_cycle = decide_for_long
     timers.now_ms += FAR_MS + late_ms
     timers.run(0)
     assert seen[-1] == {"lag_ms": late_ms, "busy_ms": 50.0}
--- a/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
@@ -3,7 +3,7 @@
 from attrs import evolve
 from loguru import logger
 
-from thymefork_cells import STALE_MS
+from thymefork_cells import WORKER_LIST_MAX_AGE_MS
 from thymefork_core.exceptions import ProtocolError
 from thymefork_machines import decode_worker
 from thymefork_net import steady_ms
@@ -60,7 +60,7 @@
 
     def _again(self, action):
         if self._wanted:
-            is_stale = steady_ms() - self.known_ms > STALE_MS
+            is_stale = steady_ms() - self.known_ms > WORKER_LIST_MAX_AGE_MS
             period_ms = STALE_PERIOD_MS if is_stale else PERIOD_MS
             self._timers.after(period_ms, action)
         else:
