--- a/packages/thymefork-daemon/src/thymefork_daemon/configuration_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/configuration_watch.py
@@ -6,7 +6,7 @@
 from thymefork_machines import decode_configuration
 from thymefork_net import steady_ms
 
-from .owed_news import OwedNews
+from .change_notifier import ChangeNotifier
 
 __all__ = ["ConfigurationWatch"]
 
@@ -30,7 +30,7 @@
         self.answered_since_ms = None
         self._store = store
         self._timers = timers
-        self._news = OwedNews(listener=on_change)
+        self._notifier = ChangeNotifier(listener=on_change)
 
     def start(self):
         """Read the newest records, then follow."""
@@ -49,7 +49,7 @@
             self._timers.after(AGAIN_MS, self._read_newest)
             return
         self._follow(result.end_offset)
-        self._news.tell(self.current)
+        self._notifier.notify(self.current)
 
     def _follow(self, offset):
         self._store.read(
@@ -69,7 +69,7 @@
         else:
             self._take(result.records)
             self._follow(result.next_offset)
-            self._news.tell(self.current)
+            self._notifier.notify(self.current)
 
     @property
     def is_answered(self):
@@ -96,4 +96,4 @@
             self.current = found
             line = logger.bind(event="configuration_in_force", version=found.version)
             line.info("{} queues", len(found.queues))
-            self._news.owe()
+            self._notifier.mark_changed()
--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -15,25 +15,25 @@
 
 from .capacity import OwningCapacity
 from .configuration_watch import ConfigurationWatch
-from .front import Front
+from .frontend import Frontend
 from .gateway import Gateway
 from .handover import Handover
-from .heard_ends import HeardEnds
+from .heard_end_buffer import HeardEndBuffer
 from .layout import WORKERS_PER_CELL, Layout
 from .learned_speeds import LearnedSpeeds
+from .limit_part_router import LimitPartRouter
 from .membership import Membership
-from .operators_server import OperatorsServer
+from .operator_server import OperatorServer
 from .owned_cells import OwnedCells
 from .owner_directory import OwnerDirectory
 from .owner_first import OwnerFirst
 from .owner_load_watch import OwnerLoadWatch
-from .part_courier import PartCourier
-from .peer_desk import PeerDesk
+from .peer_dispatcher import PeerDispatcher
 from .readiness import Readiness
 from .settings_watch import SettingsWatch
 from .shutdown import Shutdown
 from .standby import Standby
-from .telling import Metrics
+from .telemetry import Metrics
 from .worker_list_watch import WorkerListWatch
 
 __all__ = ["Daemon"]
@@ -71,10 +71,10 @@
         self.metrics = Metrics()
         self._build_clients()
         self._build_watches()
-        self.heard_ends = HeardEnds(daemon=self)
+        self.heard_ends = HeardEndBuffer(daemon=self)
         self.learned_speeds = LearnedSpeeds(daemon=self)
-        self.parts = PartCourier(daemon=self)
-        self.peers = PeerDesk(daemon=self)
+        self.parts = LimitPartRouter(daemon=self)
+        self.peers = PeerDispatcher(daemon=self)
         self.links = Links(
             sockets=self.sockets,
             instance=settings.instance,
@@ -88,14 +88,14 @@
         )
         self.readiness = Readiness(daemon=self)
         self.gateway = Gateway(daemon=self)
-        self.front = Front(daemon=self)
+        self.front = Frontend(daemon=self)
         self._ready_server = HttpServer(
             sockets=self.sockets,
             timers=self.timers,
             address=settings.ready,
             on_request=self._on_ready_request,
         )
-        OperatorsServer(
+        OperatorServer(
             daemon=self, address=Address(host=settings.front.host, port=METRICS_PORT)
         )
         self.timers.every(HEARTBEAT_MS, self.peers.send_heartbeats)
@@ -229,7 +229,7 @@
         self.readiness.check()
         self._settings_watch.check_signal()
         if self._shutdown.is_over():
-            self._log_writer.write_waiting()
+            self._log_writer.flush_buffer()
             self.stop()
 
     def _on_layout(self):
--- a/packages/thymefork-daemon/src/thymefork_daemon/front.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
@@ -10,7 +10,7 @@
 from thymefork_net import steady_ms
 from thymefork_net.http import HttpServer, ServerLimits
 
-__all__ = ["Front"]
+__all__ = ["Frontend"]
 
 # A request whose caller names no deadline is answered within this time.
 DEFAULT_PATIENCE_MS = 3_000.0
@@ -21,7 +21,7 @@
 RECORD_MARGIN_BYTES = 1_024
 
 
-class Front:
+class Frontend:
     """Check requests, answer what needs no owner, and forward the rest."""
 
     def __init__(self, *, daemon):
--- a/packages/thymefork-daemon/src/thymefork_daemon/heard_ends.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/heard_end_buffer.py
@@ -7,7 +7,7 @@
 from thymefork_net import steady_ms
 from thymefork_net.peers import EndsHeard, HeardEnd as HeardEndRow
 
-__all__ = ["HeardEnds"]
+__all__ = ["HeardEndBuffer"]
 
 # An owner goes on for 8 s without the store, and a longer outage may pass before the
 # next one has taken over; after a minute callers have long come back with what they
@@ -29,7 +29,7 @@
     forget_at_ms: float
 
 
-class HeardEnds:
+class HeardEndBuffer:
     """Take what owners tell, and hand it to the next owner, here or on a peer.
 
     An instance that was not a member in the outage, or was started since, is handed
@@ -71,7 +71,7 @@
         kept = self._kept.get(cell, {}).values()
         return [row.end for row in kept if row.epoch < epoch]
 
-    def on_owner(self, link, cell, epoch):
+    def forward_to_owner(self, link, cell, epoch):
         """Hand what is kept to a peer that owns a cell, once for each epoch."""
         if cell not in self._kept or self._handed_on.get(cell, -1) >= epoch:
             return
--- a/packages/thymefork-daemon/src/thymefork_daemon/part_courier.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/limit_part_router.py
@@ -8,12 +8,12 @@
 
 from .owner_routes import OwnerRoutes
 
-__all__ = ["PARTS_MESSAGES", "PartCourier"]
+__all__ = ["LIMIT_PART_MESSAGES", "LimitPartRouter"]
 
-PARTS_MESSAGES = (PartsAsk, PartsGrant, PartsHold)
+LIMIT_PART_MESSAGES = (PartsAsk, PartsGrant, PartsHold)
 
 
-class PartCourier:
+class LimitPartRouter:
     """Carry them to an owner on this instance, or on a link to a peer's.
 
     One that can't be sent is dropped and counted: who sent it says so again.
--- a/packages/thymefork-daemon/src/thymefork_daemon/members_heard.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/member_statuses.py
@@ -6,10 +6,10 @@
 
 from .capacity import MemberStatus, Tier
 
-__all__ = ["MembersHeard"]
+__all__ = ["MemberStatuses"]
 
 
-class MembersHeard:
+class MemberStatuses:
     """Keep each peer's last heartbeat, by its address."""
 
     def __init__(self):
--- a/packages/thymefork-daemon/src/thymefork_daemon/membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/membership.py
@@ -4,13 +4,13 @@
 
 from thymefork_net import Address, steady_ms
 
-from .owed_news import OwedNews
+from .change_notifier import ChangeNotifier
 
 __all__ = [
     "CELLS_TOPIC",
     "GROUP",
-    "Membership",
     "SLOW_JOIN_MS",
+    "Membership",
     "address_of_member",
     "is_member_id",
 ]
@@ -85,7 +85,7 @@
         self._store = store
         self._timers = timers
         self._has_to_wait = has_to_wait
-        self._news = OwedNews(listener=on_change)
+        self._notifier = ChangeNotifier(listener=on_change)
         self._left = False
         self._left_for_good = False
         self._under_way = set()
@@ -202,7 +202,7 @@
             # A second join with the new generation completes a change of hands.
             next_ms = 1.0
         self._join_after(next_ms)
-        self._news.tell()
+        self._notifier.notify()
 
     def _period_ms(self):
         self._joined_ms = self._joined_ms or steady_ms()
@@ -226,7 +226,7 @@
         }
         if epochs != self.epochs:
             self.epochs = epochs
-            self._news.owe()
+            self._notifier.mark_changed()
 
     def _rejoin_if_stuck(self, blocked):
         """Make the generation rise where a partition can't be taken under this one.
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_performer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_performer.py
@@ -8,7 +8,7 @@
 from thymefork_net import steady_ms
 
 from ..capacity import Sheddable
-from ..telling import ROUTINE_EVENTS
+from ..telemetry import ROUTINE_EVENTS
 
 __all__ = ["EffectPerformer"]
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_desk.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -14,11 +14,11 @@
     WorkerTicket,
 )
 
-from .members_heard import MembersHeard
+from .limit_part_router import LIMIT_PART_MESSAGES
+from .member_statuses import MemberStatuses
 from .owner_watch import OWNER_BEAT_MS, OwnerWatch
-from .part_courier import PARTS_MESSAGES
 
-__all__ = ["PeerDesk"]
+__all__ = ["PeerDispatcher"]
 
 # A member of the group keeps links to this many others beside the owner. Without them
 # it hears nobody but the owner and can't tell its silence from a cut of its own. Who is
@@ -31,12 +31,12 @@
 LEAVE_MOST_MS = 600.0
 
 
-class PeerDesk:
+class PeerDispatcher:
     """Send heartbeats, keep links to owners, and hand messages on."""
 
     def __init__(self, *, daemon):
         self._daemon = daemon
-        self.members_heard = MembersHeard()
+        self.members_heard = MemberStatuses()
         self._member_links = set()
         self._newcomers = set()
         self._owned_by_link = {}
@@ -145,7 +145,7 @@
             self._on_advice_reply(message)
         elif isinstance(message, EndsHeard):
             self._daemon.heard_ends.on_message(message)
-        elif isinstance(message, PARTS_MESSAGES):
+        elif isinstance(message, LIMIT_PART_MESSAGES):
             self._daemon.parts.on_message(message)
         else:
             self._on_links_changed()
@@ -189,7 +189,7 @@
         for learned in message.speeds or ():
             self._daemon.learned_speeds.on_message(learned)
         for owned in message.owned:
-            self._daemon.heard_ends.on_owner(link, owned.cell, owned.epoch)
+            self._daemon.heard_ends.forward_to_owner(link, owned.cell, owned.epoch)
         if self._owner_watch is not None:
             self._owner_watch.on_heartbeat(link, message)
         owned = {owned.cell for owned in message.owned}
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/fakes.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/fakes.py
@@ -56,7 +56,7 @@
         pass
 
 
-class FailingOnce:
+class FailsOnceListener:
     """Fail as a listener once, then keep what is told."""
 
     def __init__(self):
@@ -95,7 +95,7 @@
         on_done(self.leave_answer)
 
 
-def owning_parts(*, tier=Tier.FULL):
+def capacity_attributes(*, tier=Tier.FULL):
     """Return the parts of a daemon that tell how well it owns, as its attributes."""
     load = OwnerLoad(link_mbps=0.0)
     return {
@@ -105,7 +105,7 @@
     }
 
 
-def use_clock(monkeypatch, timers, *modules):
+def patch_clock(monkeypatch, timers, *modules):
     """Let modules read the timers' clock."""
     for module in (membership_module, *modules):
         monkeypatch.setattr(module, "steady_ms", lambda: timers.now_ms)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/group_of_instances.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
@@ -4,13 +4,13 @@
 
 from thymefork_daemon.capacity import OwnerLoad, Tier
 from thymefork_daemon.handover import Handover
-from thymefork_daemon.members_heard import MembersHeard
+from thymefork_daemon.member_statuses import MemberStatuses
 from thymefork_daemon.standby import Standby
 from thymefork_net.peers import Heartbeat, OwnedCell
 
 from .fakes import FakeMetrics
 
-__all__ = ["STEP_MS", "Group"]
+__all__ = ["STEP_MS", "SimulatedGroup"]
 
 STEP_MS = 10
 BEAT_MS = 250
@@ -118,7 +118,7 @@
         self.capacity = SimpleNamespace(tier=tier)
         self.owner_load = SimpleNamespace(load=OwnerLoad(link_mbps=0.0))
         self.peers = SimpleNamespace(
-            members_heard=MembersHeard(), send_heartbeats=lambda: group.beat(self)
+            members_heard=MemberStatuses(), send_heartbeats=lambda: group.beat(self)
         )
         self.layout = FakeLayout(group.known)
         self.directory = SimpleNamespace(
@@ -176,7 +176,7 @@
         )
 
 
-class Group:
+class SimulatedGroup:
     """Any number of instances of several tiers, with one cell."""
 
     def __init__(self, timers, *, full=2, partial=2, least=3, known=None):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advisers.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advisers.py
@@ -7,7 +7,7 @@
 
 from .fakes import FakeMetrics
 
-CLOCKED = (advisers_module,)
+CLOCK_MODULES = (advisers_module,)
 
 NAMES = [f"edge-{number}" for number in range(10)]
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_pump.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_pump.py
@@ -10,7 +10,7 @@
 
 from .fakes import FakeMetrics, FakeStore
 
-CLOCKED = (append_pump,)
+CLOCK_MODULES = (append_pump,)
 
 
 @pytest.fixture
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_in_doubt.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_in_doubt.py
@@ -15,9 +15,9 @@
 from thymefork_machines.store import AppendOutcome, AppendResult
 
 from .fakes import FakeMetrics, FakeStore
-from .store_in_turn import FAULTS, StoreInTurn, spread
+from .sequenced_store import FAULTS, SequencedStore, jittered
 
-CLOCKED = (append_pump,)
+CLOCK_MODULES = (append_pump,)
 SLOW_ANSWER_MS = 300.0
 CASES = 400
 FAULTS_UNTIL_MS = 6_000.0
@@ -214,14 +214,14 @@
         self._share = self._rng.choice([0.05, 0.2, 0.5])
         self._faults = self._rng.sample(FAULTS, self._rng.randint(1, len(FAULTS)))
         self._may_write = True
-        way_ms = self._rng.choice([20.0, 70.0, 150.0])
-        store = StoreInTurn(
+        latency_ms = self._rng.choice([20.0, 70.0, 150.0])
+        store = SequencedStore(
             timers=timers,
-            way_ms=spread(self._rng, way_ms, self._rng.choice([0.1, 0.9])),
-            turn_ms=spread(self._rng, self._rng.choice([4.0, 100.0])),
-            draw=self._draw,
+            latency_ms=jittered(self._rng, latency_ms, self._rng.choice([0.1, 0.9])),
+            service_time_ms=jittered(self._rng, self._rng.choice([4.0, 100.0])),
+            draw_fault=self._draw,
             late_ms=lambda: self._rng.uniform(500.0, 6_000.0),
-            repeats_take_turn=self._rng.random() < 0.5,
+            repeats_cost_service_time=self._rng.random() < 0.5,
         )
         if seed % 4 == 0:
             store.fenced_from_ms = timers.now_ms + self._rng.uniform(500.0, 5_000.0)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_overlapping.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_overlapping.py
@@ -16,9 +16,9 @@
 from thymefork_daemon.owner.cell_partition import CellPartition
 
 from .fakes import FakeMetrics
-from .store_in_turn import StoreInTurn, spread
+from .sequenced_store import SequencedStore, jittered
 
-CLOCKED = (append_pump,)
+CLOCK_MODULES = (append_pump,)
 TURN_MS = 4.0
 DECISIONS_PER_S = 60
 LOAD_MS = 6_000.0
@@ -65,16 +65,16 @@
         self.waits_ms += [self._timers.now_ms - at_ms for at_ms in decided]
 
 
-def play(timers, monkeypatch, most, *, way_ms, turn_ms, seed=1):
+def play(timers, monkeypatch, most, *, latency_ms, service_time_ms, seed=1):
     """Return the mean wait from a decision to its answered append, and the store."""
     monkeypatch.setattr(append_window, "MOST_UNDER_WAY", most)
     monkeypatch.setattr(append_window, "FIRST_UNDER_WAY", min(2.0, most))
     rng = random.Random(seed)
-    store = StoreInTurn(
+    store = SequencedStore(
         timers=timers,
-        way_ms=spread(rng, way_ms),
-        turn_ms=spread(rng, turn_ms, 0.02),
-        repeats_take_turn=False,
+        latency_ms=jittered(rng, latency_ms),
+        service_time_ms=jittered(rng, service_time_ms, 0.02),
+        repeats_cost_service_time=False,
     )
     decisions = Decisions(timers, store, rng)
     timers.run(LOAD_MS + 3_000.0)
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    "way_ms, turn_ms, most_share",
+    "latency_ms, service_time_ms, most_share",
     [
         (65.0, 160.0, 0.96),  # 290 ms, half of it the turn
         (100.0, 240.0, 0.95),  # 440 ms
@@ -94,14 +94,14 @@
     ],
 )
 def test_a_decision_waits_less_where_appends_overlap(
-    timers, monkeypatch, way_ms, turn_ms, most_share
+    timers, monkeypatch, latency_ms, service_time_ms, most_share
 ):
     shares = []
     for seed in range(1, 6):
-        load = {"way_ms": way_ms, "turn_ms": turn_ms, "seed": seed}
+        load = {"way_ms": latency_ms, "turn_ms": service_time_ms, "seed": seed}
         alone_ms, _ = play(timers, monkeypatch, ONE_AT_A_TIME, **load)
         overlapping_ms, store = play(timers, monkeypatch, AS_MANY_AS_GAIN, **load)
-        assert store.most_open <= append_pump.MOST_CALLS_OPEN
+        assert store.max_open <= append_pump.MOST_CALLS_OPEN
         shares.append(overlapping_ms / alone_ms)
     assert mean(shares) <= most_share
 
@@ -110,18 +110,18 @@
     load = {"way_ms": 3.0, "turn_ms": 4.0}
     alone_ms, before = play(timers, monkeypatch, ONE_AT_A_TIME, **load)
     wait_ms, store = play(timers, monkeypatch, AS_MANY_AS_GAIN, **load)
-    assert store.most_open == 1
+    assert store.max_open == 1
     assert (wait_ms, store.calls) == (pytest.approx(alone_ms), before.calls)
 
 
 def test_once_the_store_is_quick_again_appends_go_one_at_a_time(timers):
     rng = random.Random(3)
-    store = StoreInTurn(timers=timers, way_ms=spread(rng, 150.0))
+    store = SequencedStore(timers=timers, latency_ms=jittered(rng, 150.0))
     Decisions(timers, store, rng)
     timers.run(LOAD_MS / 2)
-    assert store.most_open > 1
-    store.way_ms = spread(rng, 3.0)
+    assert store.max_open > 1
+    store.latency_ms = jittered(rng, 3.0)
     timers.run(1_000.0)
-    store.most_open = 0
+    store.max_open = 0
     timers.run(1_000.0)
-    assert store.most_open == 1
+    assert store.max_open == 1
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_at_a_slow_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_at_a_slow_store.py
@@ -20,9 +20,9 @@
 from thymefork_daemon.owner.turn_loop import TurnLoop
 
 from .fakes import FakeMetrics
-from .store_in_turn import FAULTS, StoreInTurn, spread
+from .sequenced_store import FAULTS, SequencedStore, jittered
 
-CLOCKED = (append_pump, turn_loop)
+CLOCK_MODULES = (append_pump, turn_loop)
 CASES = 60
 REQUESTS_MS = 5_000.0
 OUTAGE_MS = 400.0
@@ -38,11 +38,11 @@
         self.share = self.rng.choice([0.0, 0.1, 0.4])
         self.until_ms = timers.now_ms + REQUESTS_MS
         self.outages_ms = self.rng.choice([(), (1_000.0, 3_000.0)])
-        self.store = StoreInTurn(
+        self.store = SequencedStore(
             timers=timers,
-            way_ms=spread(self.rng, 100.0, 0.6),
-            turn_ms=spread(self.rng, 60.0),
-            draw=self.draw,
+            latency_ms=jittered(self.rng, 100.0, 0.6),
+            service_time_ms=jittered(self.rng, 60.0),
+            draw_fault=self.draw_fault,
             late_ms=lambda: self.rng.uniform(500.0, 4_000.0),
         )
         self.cell = Cell(
@@ -75,7 +75,7 @@
         self.loop.run_cycle()
         self.ask()
 
-    def draw(self, number):
+    def draw_fault(self, number):
         left_ms = self.until_ms - self.timers.now_ms
         if any(0.0 < left_ms - outage_ms < OUTAGE_MS for outage_ms in self.outages_ms):
             return "busy"
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -17,7 +17,7 @@
     WorkerEntry,
 )
 from thymefork_cells.state import AccountUsage, Job, JobState, Run, RunState, Worker
-from thymefork_daemon.heard_ends import HeardEnds
+from thymefork_daemon.heard_end_buffer import HeardEndBuffer
 from thymefork_daemon.learned_speeds import LearnedSpeeds
 from thymefork_daemon.owned_cells import OwnedCells
 from thymefork_daemon.owner import (
@@ -26,10 +26,10 @@
     turn_loop as turn_loop_module,
 )
 
-from .fakes import FakeMetrics, owning_parts
+from .fakes import FakeMetrics, capacity_attributes
 from .test_takeover import PartitionStore
 
-CLOCKED = (cell_owner_module, request_handler_module, turn_loop_module)
+CLOCK_MODULES = (cell_owner_module, request_handler_module, turn_loop_module)
 
 
 class PooledStore(PartitionStore):
@@ -65,9 +65,9 @@
         is_stopping=False,
         timers=timers,
         metrics=FakeMetrics(),
-        **owning_parts(),
+        **capacity_attributes(),
     )
-    daemon.heard_ends = HeardEnds(daemon=daemon)
+    daemon.heard_ends = HeardEndBuffer(daemon=daemon)
     daemon.learned_speeds = LearnedSpeeds(daemon=daemon)
     daemon.owned_cells = OwnedCells(daemon=daemon)
     daemon.owners = daemon.owned_cells.owners
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owed_news.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_change_notifier.py
@@ -2,25 +2,25 @@
 
 import pytest
 
-from thymefork_daemon.owed_news import OwedNews
+from thymefork_daemon.change_notifier import ChangeNotifier
 
-from .fakes import FailingOnce
+from .fakes import FailsOnceListener
 
 
 def test_nothing_is_told_without_a_change():
     told = []
-    OwedNews(listener=told.append).tell("news")
+    ChangeNotifier(listener=told.append).notify("news")
     assert not told
 
 
 def test_a_listener_that_failed_is_told_once_more():
-    listener = FailingOnce()
-    news = OwedNews(listener=listener)
-    news.owe()
+    listener = FailsOnceListener()
+    news = ChangeNotifier(listener=listener)
+    news.mark_changed()
     with pytest.raises(RuntimeError):
-        news.tell("news")
+        news.notify("news")
     for _ in range(2):
-        news.tell("later news")
+        news.notify("later news")
     assert listener.told == ["later news"]
 
 
@@ -30,10 +30,10 @@
     def listener(news):
         told.append(news)
         if len(told) == 1:
-            owed.owe()
+            owed.mark_changed()
 
-    owed = OwedNews(listener=listener)
-    owed.owe()
+    owed = ChangeNotifier(listener=listener)
+    owed.mark_changed()
     for news in ("first", "second", "third"):
-        owed.tell(news)
+        owed.notify(news)
     assert told == ["first", "second"]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_configuration_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_configuration_watch.py
@@ -8,9 +8,9 @@
 from thymefork_daemon.configuration_watch import ConfigurationWatch
 from thymefork_machines.store import NewestResult, ReadResult, StoreRecord
 
-from .fakes import FailingOnce
+from .fakes import FailsOnceListener
 
-CLOCKED = ()
+CLOCK_MODULES = ()
 
 
 class FakeReader:
@@ -46,7 +46,7 @@
 
 
 def test_the_configuration_is_followed_on_though_a_listener_failed(reader, timers):
-    listener = FailingOnce()
+    listener = FailsOnceListener()
     watch = follow(reader, timers, listener)
     with pytest.raises(RuntimeError):  # the pool logs it, with its trace
         reader.calls.pop()(newest(1))
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
@@ -20,7 +20,7 @@
 
 from .fakes import FakeStore
 
-CLOCKED = (standby_module,)
+CLOCK_MODULES = (standby_module,)
 
 
 class FakeOwner:
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
@@ -6,10 +6,10 @@
 
 from thymefork_daemon.owner import CellOwner, advisers as advisers_module
 
-from .fakes import FakeMetrics, FakeStore, owning_parts
+from .fakes import FakeMetrics, FakeStore, capacity_attributes
 from .test_advisers import FakeLink, OwnClient, long_call, reply_to
 
-CLOCKED = (advisers_module,)
+CLOCK_MODULES = (advisers_module,)
 
 
 @pytest.fixture
@@ -18,7 +18,7 @@
         store=FakeStore(),
         timers=timers,
         metrics=FakeMetrics(),
-        **owning_parts(),
+        **capacity_attributes(),
         advice=OwnClient(),
         workers=None,
         membership=None,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
@@ -16,7 +16,7 @@
 
 from .fakes import FakeMetrics
 
-CLOCKED = (gateway_module, pending_request_module)
+CLOCK_MODULES = (gateway_module, pending_request_module)
 
 JOB = "00000000000000aa"
 OWNER = Address(host="10.0.0.2", port=7000)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
@@ -10,7 +10,7 @@
 
 from thymefork_daemon import (
     handover as handover_module,
-    members_heard as members_heard_module,
+    member_statuses as members_heard_module,
     owner_directory,
     standby as standby_module,
 )
@@ -18,9 +18,9 @@
 from thymefork_daemon.standby import BETTER_RETURN_MS, NEXT_TIER_MS, SPREAD_MS
 from thymefork_net.peers import Heartbeat
 
-from .group_of_instances import STEP_MS, Group
+from .simulated_group import STEP_MS, SimulatedGroup
 
-CLOCKED = (handover_module, members_heard_module, owner_directory, standby_module)
+CLOCK_MODULES = (handover_module, members_heard_module, owner_directory, standby_module)
 
 
 @pytest.fixture(params=[1, 2, 3])
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def group(timers, shares):
-    group = Group(timers)
+    group = SimulatedGroup(timers)
     group.run(3_000)
     return group
 
@@ -156,7 +156,7 @@
 
 
 def test_an_overloaded_owner_without_relief_stays(timers, shares):
-    group = Group(timers, full=1)
+    group = SimulatedGroup(timers, full=1)
     group.run(8_000)
     overload(group.owner)
     group.run(30_000)
@@ -200,7 +200,7 @@
 
 
 def test_better_instances_that_are_added_later_take_over_for_good(timers, shares):
-    group = Group(timers, known={Tier.LEAST, Tier.PARTIAL})
+    group = SimulatedGroup(timers, known={Tier.LEAST, Tier.PARTIAL})
     group.lose(group.of(Tier.FULL))
     group.run(10_000)
     assert {member.tier for member in group.members} == {Tier.PARTIAL}
@@ -214,7 +214,7 @@
 
 def test_with_a_third_cut_from_the_store_the_best_that_are_left_own(timers, shares):
     """The owner is among those cut off; no lower tier gets a turn, then or later."""
-    group = Group(timers, full=3, partial=3, least=6)
+    group = SimulatedGroup(timers, full=3, partial=3, least=6)
     group.run(3_000)
     first = group.owner
     cut = [first, group.of(Tier.PARTIAL)[0], *group.of(Tier.LEAST)[:2]]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_layout.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_layout.py
@@ -14,7 +14,7 @@
     StoreRecord,
 )
 
-CLOCKED = (layout_module,)
+CLOCK_MODULES = (layout_module,)
 
 
 class LayoutStore:
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_part_courier.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
@@ -10,16 +10,16 @@
 
 from thymefork_cells import effects as fx
 from thymefork_cells.specs import LimitParts
-from thymefork_daemon import peer_desk as peer_desk_module
-from thymefork_daemon.part_courier import PartCourier, to_wire
-from thymefork_daemon.peer_desk import PeerDesk
+from thymefork_daemon import peer_dispatcher as peer_desk_module
+from thymefork_daemon.limit_part_router import LimitPartRouter, to_wire
+from thymefork_daemon.peer_dispatcher import PeerDispatcher
 from thymefork_net import Address
 from thymefork_net.peers import Heartbeat
 from thymefork_net.peers.envelope import decode, encode
 
 from .fakes import FakeMetrics
 
-CLOCKED = (peer_desk_module,)
+CLOCK_MODULES = (peer_desk_module,)
 OWN = Address(host="10.0.0.1", port=7000)
 PEER = Address(host="10.0.0.2", port=7000)
 PARTS = LimitParts(cpu=3, memory=2_000_000_000_000, accelerators=0)
@@ -93,8 +93,8 @@
             refresh=lambda: None,
         ),
     )
-    daemon.parts = PartCourier(daemon=daemon)
-    daemon.peers = PeerDesk(daemon=daemon)
+    daemon.parts = LimitPartRouter(daemon=daemon)
+    daemon.peers = PeerDispatcher(daemon=daemon)
     return daemon
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_members_heard.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_member_statuses.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from thymefork_daemon import members_heard as members_heard_module
+from thymefork_daemon import member_statuses as members_heard_module
 from thymefork_daemon.capacity import Tier
-from thymefork_daemon.members_heard import MembersHeard
+from thymefork_daemon.member_statuses import MemberStatuses
 from thymefork_net.peers import Heartbeat, OwnedCell
 
-CLOCKED = (members_heard_module,)
+CLOCK_MODULES = (members_heard_module,)
 
 
 def beat(*, owns=False, in_group=True, store_lost=False, leaving=False, **told):
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def heard(timers):
-    return MembersHeard()
+    return MemberStatuses()
 
 
 def say(heard, timers, times, address="a", **fields):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
@@ -10,9 +10,9 @@
 from thymefork_machines.store import JoinResult, MemberRow, PartitionRow
 from thymefork_net import Address
 
-from .fakes import FailingOnce, FakeStore
+from .fakes import FailsOnceListener, FakeStore
 
-CLOCKED = (owner_directory,)
+CLOCK_MODULES = (owner_directory,)
 
 PEER = Address(host="10.0.0.1", port=7000)
 
@@ -123,7 +123,7 @@
 
 
 def test_a_member_joins_on_though_a_listener_failed(make, store, timers):
-    listener = FailingOnce()
+    listener = FailsOnceListener()
     membership = make(on_change=listener)
     membership.start()
     with pytest.raises(RuntimeError):  # the pool logs it, with its trace
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_directory.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_directory.py
@@ -11,7 +11,7 @@
 
 from .fakes import FakeStore
 
-CLOCKED = (owner_directory,)
+CLOCK_MODULES = (owner_directory,)
 
 OWN = Address(host="10.0.0.1", port=7000)
 OWNER = Address(host="10.0.0.2", port=7000)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_first.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_first.py
@@ -7,7 +7,7 @@
 from thymefork_daemon import owner_first as owner_first_module
 from thymefork_daemon.owner_first import OwnerFirst
 
-CLOCKED = (owner_first_module,)
+CLOCK_MODULES = (owner_first_module,)
 
 
 @pytest.fixture
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
@@ -6,13 +6,13 @@
 
 from thymefork_daemon import owner_watch as owner_watch_module
 from thymefork_daemon.owner_watch import OwnerWatch
-from thymefork_daemon.peer_desk import PeerDesk
+from thymefork_daemon.peer_dispatcher import PeerDispatcher
 from thymefork_net import Address
 from thymefork_net.peers import Heartbeat, OwnedCell
 
-from .fakes import FakeMetrics, owning_parts
+from .fakes import FakeMetrics, capacity_attributes
 
-CLOCKED = (owner_watch_module,)
+CLOCK_MODULES = (owner_watch_module,)
 
 OWNER = Address(host="10.0.0.2", port=7000)
 
@@ -44,7 +44,7 @@
         is_stopping=False,
         timers=timers,
         metrics=FakeMetrics(),
-        **owning_parts(),
+        **capacity_attributes(),
         heard_ms=heard_ms,
         removed=removed,
         share=0.9,
@@ -188,10 +188,10 @@
         ),
         gateway=SimpleNamespace(on_link_broken=lambda link: None),
         metrics=FakeMetrics(),
-        **owning_parts(),
+        **capacity_attributes(),
         learned_speeds=SimpleNamespace(take_untold=lambda: None),
     )
-    desk = PeerDesk(daemon=daemon)
+    desk = PeerDispatcher(daemon=daemon)
     for link in links:
         link.was_refused = link.connected = False
         link.address = link.listener_address = None
@@ -216,7 +216,7 @@
         links=SimpleNamespace(all=[], to=opened.add),
         membership=SimpleNamespace(in_group=True, store_lost=False, round_trip_ms=6.0),
         metrics=FakeMetrics(),
-        **owning_parts(),
+        **capacity_attributes(),
     )
-    PeerDesk(daemon=daemon).send_heartbeats()
+    PeerDispatcher(daemon=daemon).send_heartbeats()
     assert len(opened) == 3 and opened < others
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
@@ -7,7 +7,7 @@
 from thymefork_daemon import readiness as readiness_module
 from thymefork_daemon.readiness import Readiness
 
-CLOCKED = (readiness_module,)
+CLOCK_MODULES = (readiness_module,)
 
 
 @pytest.fixture
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
@@ -13,9 +13,9 @@
 from thymefork_daemon import shutdown as shutdown_module
 from thymefork_daemon.shutdown import Shutdown
 
-from .fakes import FakeTimers, use_clock
+from .fakes import FakeTimers, patch_clock
 
-CLOCKED = (shutdown_module,)
+CLOCK_MODULES = (shutdown_module,)
 GRACE_MS = 6_000.0
 
 
@@ -123,7 +123,7 @@
 
 def test_an_instance_without_cells_stops_at_once(monkeypatch):
     timers = FakeTimers()
-    use_clock(monkeypatch, timers, shutdown_module)
+    patch_clock(monkeypatch, timers, shutdown_module)
     left = []
 
     def leave(on_done, *, for_good):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_standby.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_standby.py
@@ -18,7 +18,7 @@
 
 from .fakes import FakeStore
 
-CLOCKED = (owner_directory, standby_module)
+CLOCK_MODULES = (owner_directory, standby_module)
 
 
 @pytest.fixture(autouse=True, params=[1, 2, 3])
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_turn_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_turn_loop.py
@@ -13,7 +13,7 @@
     TurnLoop,
 )
 
-CLOCKED = (turn_loop,)
+CLOCK_MODULES = (turn_loop,)
 FAR_MS = 1_000.0
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_worker_list_watch.py
@@ -9,9 +9,9 @@
 from thymefork_daemon.worker_list_watch import WorkerListWatch
 from thymefork_machines.store import NewestResult, ReadResult, StoreRecord
 
-from .fakes import FailingOnce
+from .fakes import FailsOnceListener
 
-CLOCKED = (watch_module,)
+CLOCK_MODULES = (watch_module,)
 
 
 def entry(worker_id, machine="m-1"):
@@ -92,7 +92,7 @@
 
 
 def test_the_list_is_read_on_though_a_listener_failed(timers):
-    reader, listener = FakeReader(), FailingOnce()
+    reader, listener = FakeReader(), FailsOnceListener()
     watch = WorkerListWatch(
         store=reader, timers=timers, on_change=listener, on_unreadable=lambda: None
     )
--- a/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
@@ -8,7 +8,7 @@
 from thymefork_machines import decode_worker
 from thymefork_net import steady_ms
 
-from .owed_news import OwedNews
+from .change_notifier import ChangeNotifier
 
 __all__ = ["WorkerListWatch"]
 
@@ -40,7 +40,7 @@
         self._on_unreadable = on_unreadable
         self._store = store
         self._timers = timers
-        self._news = OwedNews(listener=on_change)
+        self._notifier = ChangeNotifier(listener=on_change)
         self._wanted = False
         self._running = False
         self._answered_ms = steady_ms()
@@ -103,8 +103,8 @@
         entries = self._kept | self._listed
         if entries != self.entries:
             self.entries = entries
-            self._news.owe()
-        self._news.tell()
+            self._notifier.mark_changed()
+        self._notifier.notify()
 
     def _read_newest(self, found, after, offset):
         sent_ms = steady_ms()
