--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_overlapping.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_overlapping.py
@@ -98,7 +98,7 @@
 ):
     shares = []
     for seed in range(1, 6):
-        load = {"way_ms": latency_ms, "turn_ms": service_time_ms, "seed": seed}
+        load = {"latency_ms": latency_ms, "service_time_ms": service_time_ms, "seed": seed}
         alone_ms, _ = play(timers, monkeypatch, ONE_AT_A_TIME, **load)
         overlapping_ms, store = play(timers, monkeypatch, AS_MANY_AS_GAIN, **load)
         assert store.max_open <= append_pump.MOST_CALLS_OPEN
@@ -107,7 +107,7 @@
 
 
 def test_a_quick_store_gets_one_append_at_a_time(timers, monkeypatch):
-    load = {"way_ms": 3.0, "turn_ms": 4.0}
+    load = {"latency_ms": 3.0, "service_time_ms": 4.0}
     alone_ms, before = play(timers, monkeypatch, ONE_AT_A_TIME, **load)
     wait_ms, store = play(timers, monkeypatch, AS_MANY_AS_GAIN, **load)
     assert store.max_open == 1
