--- a/bench/experiments.py
+++ b/bench/experiments.py
@@ -22,7 +22,7 @@
 from thymefork_cells.accounts import job_rate_shares
 from thymefork_cells.advice import choice as advice_choice
 from thymefork_cells.estimates import images, worker_speeds
-from thymefork_cells.placing import (
+from thymefork_cells.placement import (
     placer,
     preemptor,
     reservations,
--- a/bench/load_states.py
+++ b/bench/load_states.py
@@ -1,6 +1,6 @@
 """A trial: past full load, steps that can still be in time go first."""
 
-from thymefork_cells.placing.step_order import StepOrder
+from thymefork_cells.placement.step_order import StepOrder
 
 __all__ = ["LoadState", "order_over_priorities", "order_past_full_load"]
 
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_requester.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_requester.py
@@ -37,7 +37,7 @@
 
     def ask(self, accounts, now_ms):
         """Ask for what work lacks whose turn has come; renew asks that still hold."""
-        moved = self._ledger.moved
+        changed_accounts = self._ledger.changed_accounts
         is_new_plan = self._quotas.plan_number != self._plan_number
         self._plan_number = self._quotas.plan_number
         for name in self._quotas.demands:
@@ -45,9 +45,9 @@
             if is_asking or not self._needs.is_satisfied(name):
                 account = accounts[name]
                 is_due = is_asking and now_ms >= account.due_ms
-                if is_new_plan or is_due or name in moved:
+                if is_new_plan or is_due or name in changed_accounts:
                     self._ask_for(name, account, now_ms)
-        moved.clear()
+        changed_accounts.clear()
         for name in self._asking - self._quotas.demands.keys():
             if not accounts[name].is_covering:
                 self.stop(name)
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
@@ -44,7 +44,7 @@
     What is lent is stored; what is borrowed each owner hears from the lenders anew. A
     lender counts a loan as lent until its borrower says that it counts on less, so the
     cells never hold more than the whole between them. By what lenders ask back, and by
-    what is promised to others, nothing is started any more. `moved` are the accounts
+    what is promised to others, nothing is started any more. `changed_accounts` are the accounts
     whose parts changed since they were asked for last.
     """
 
@@ -55,7 +55,7 @@
         self._in_debt = set()
         self._recalled = {}
         self._promised = {}
-        self.moved = set()
+        self.changed_accounts = set()
         self._allowed = {}
         self._number = 0
 
@@ -109,7 +109,7 @@
 
     def _changed(self, name):
         self._allowed.pop(name, None)
-        self.moved.add(name)
+        self.changed_accounts.add(name)
         self._context.needs_plan = True
 
     # Lent ----------------------------------------------------------------------
--- a/packages/thymefork-cells/src/thymefork_cells/advice/choice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/choice.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-from ..placing.worker_choice import copies_in
+from ..placement.worker_choice import copies_in
 
 __all__ = ["AllowedShares", "choose_workers", "has_tickets_to_wait"]
 
--- a/packages/thymefork-cells/src/thymefork_cells/cell.py
+++ b/packages/thymefork-cells/src/thymefork_cells/cell.py
@@ -13,10 +13,10 @@
 from .jobs.journal import Journal
 from .jobs.lifecycle import Lifecycle
 from .jobs.unstored_ends import UnstoredEnds
-from .placing.placer import Placer
-from .placing.preemptor import Preemptor
-from .placing.reservations import Reservations
-from .placing.trials import Trials
+from .placement.placer import Placer
+from .placement.preemptor import Preemptor
+from .placement.reservations import Reservations
+from .placement.trials import Trials
 from .workers.commands import CommandTracker, Refusal
 from .workers.extended_leases import ExtendedLeases
 from .workers.gang_monitor import GangMonitor
--- a/packages/thymefork-cells/src/thymefork_cells/placing/tests/test_order_of_penalties.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_order_of_penalties.py
@@ -10,8 +10,8 @@
 import pytest
 from attrs import evolve
 
-from thymefork_cells.placing.trials import Trials
-from thymefork_cells.placing.worker_choice import OTHER_HALL_PENALTY, fit_score
+from thymefork_cells.placement.trials import Trials
+from thymefork_cells.placement.worker_choice import OTHER_HALL_PENALTY, fit_score
 from thymefork_cells.specs import StepSpec
 from thymefork_cells.state.worker_health import FAILURES_TO_QUARANTINE
 
--- a/packages/thymefork-cells/src/thymefork_cells/placing/tests/test_speed_fit.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_fit.py
@@ -7,8 +7,8 @@
 
 from thymefork_cells.advice import choose_workers
 from thymefork_cells.estimates import LateChance
-from thymefork_cells.placing import SpeedFit
-from thymefork_cells.placing.worker_choice import OTHER_HALL_PENALTY
+from thymefork_cells.placement import SpeedFit
+from thymefork_cells.placement.worker_choice import OTHER_HALL_PENALTY
 from thymefork_cells.specs import StepSpec, WorkerEntry
 from thymefork_cells.state import Worker
 
--- a/packages/thymefork-cells/src/thymefork_cells/placing/tests/test_worker_choice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_worker_choice.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from thymefork_cells.placing.worker_choice import (
+from thymefork_cells.placement.worker_choice import (
     OTHER_HALL_PENALTY,
     WorkerRanking,
     fit_score,
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/advisers.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/advisers.py
@@ -33,7 +33,7 @@
     """Give each instance one call at a time, the most urgent first, none for ever.
 
     `on_answer(step, worker_ids, tickets, valid_ms)` takes each outcome; tickets are
-    None where no answer came. `turn`, from 0 to 1, is where this owner begins among
+    None where no answer came. `run_cycle`, from 0 to 1, is where this owner begins among
     the instances: owners that all began with the same ones would wait for each other.
     `tell_withdrawn(link, call_ids)` tells an instance of calls that nobody wants.
     """
@@ -45,7 +45,7 @@
         timers,
         metrics,
         instance,
-        turn,
+        run_cycle,
         on_answer,
         tell_withdrawn=lambda link, call_ids: None,
     ):
@@ -56,7 +56,7 @@
         self._tell_withdrawn = tell_withdrawn
         self._advisers = {instance: Adviser(name=instance)}
         self._own_name = instance
-        self._turn = turn
+        self._turn = run_cycle
         self._waiting = []
         self._numbers = count(1)
         self._by_call = {}
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advisers.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advisers.py
@@ -36,7 +36,7 @@
 def make(
     timers,
     links,
-    turn,
+    run_cycle,
     on_answer=lambda *answer: None,
     instance="edge-own",
     client=None,
@@ -47,7 +47,7 @@
         timers=timers,
         metrics=FakeMetrics(),
         instance=instance,
-        turn=turn,
+        run_cycle=run_cycle,
         on_answer=on_answer,
         tell_withdrawn=tell_withdrawn,
     )
@@ -75,8 +75,8 @@
 def test_two_owners_begin_with_different_instances(timers):
     """From cab-bogota-grown, scale-2: a harvest waited 12 s for its tickets (LOST)."""
     links = [FakeLink(name) for name in NAMES]
-    for turn in (0.0, 0.5):
-        advisers = make(timers, links, turn)
+    for run_cycle in (0.0, 0.5):
+        advisers = make(timers, links, run_cycle)
         for _ in range(4):
             advisers.ask(long_call())
     assert max(len(link.sent) for link in links) == 1
