--- a/packages/thymefork-daemon/src/thymefork_daemon/configuration_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/configuration_watch.py
@@ -21,13 +21,13 @@
 class ConfigurationWatch:
     """Follow the operators' topic; a version in force never gives way to an older.
 
-    `answered_since_ms` is the steady moment since which each read was answered, None
+    `readable_since_ms` is the steady moment since which each read was answered, None
     while the last one was not.
     """
 
     def __init__(self, *, store, timers, on_change):
         self.current = None
-        self.answered_since_ms = None
+        self.readable_since_ms = None
         self._store = store
         self._timers = timers
         self._notifier = ChangeNotifier(listener=on_change)
@@ -72,15 +72,15 @@
             self._notifier.notify(self.current)
 
     @property
-    def is_answered(self):
+    def is_readable(self):
         """Tell whether the last read was answered."""
-        return self.answered_since_ms is not None
+        return self.readable_since_ms is not None
 
     def _note_answer(self, answered):
         if not answered:
-            self.answered_since_ms = None
-        elif self.answered_since_ms is None:
-            self.answered_since_ms = steady_ms()
+            self.readable_since_ms = None
+        elif self.readable_since_ms is None:
+            self.readable_since_ms = steady_ms()
 
     def _take(self, records):
         for record in records:
--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -136,7 +136,7 @@
         self.layout = Layout(
             store=self.store,
             timers=self.timers,
-            most_cells=self.settings.store.partitions,
+            max_cells=self.settings.store.partitions,
             worker_list=self.worker_list,
             tier=self.capacity.tier,
             on_known=self._on_layout,
@@ -147,7 +147,7 @@
             settings=self.settings,
             life=self._life,
             on_change=self.owned_cells.update,
-            has_to_wait=OwnerFirst(daemon=self).waits,
+            must_wait=OwnerFirst(daemon=self).waits,
         )
         self.directory = OwnerDirectory(
             store=self.store,
@@ -155,7 +155,7 @@
             own_id=self.membership.member_id,
             partition_of=self.layout.partition_of,
             on_change=self._on_owners,
-            on_removed=self.membership.hurry,
+            on_removed=self.membership.join_now,
         )
         self.standby = Standby(
             timers=self.timers,
@@ -163,7 +163,7 @@
             directory=self.directory,
             layout=self.layout,
             tier=self.capacity.tier,
-            owner_tier=lambda: self.peers.members_heard.owner_tier(),
+            owner_tier=lambda: self.peers.member_statuses.owner_tier(),
             rest_until_ms=lambda: self.handover.rest_until_ms,
             is_stopping=lambda: self.is_stopping,
         )
@@ -189,14 +189,14 @@
         return self._shutdown.has_begun
 
     @property
-    def reads_store(self):
+    def can_read_store(self):
         """Tell whether this instance's reads of the store are answered."""
-        return self._configuration_watch.is_answered
+        return self._configuration_watch.is_readable
 
     @property
-    def store_answers_since_ms(self):
+    def store_readable_since_ms(self):
         """Return since when each read of the store was answered, None if not."""
-        return self._configuration_watch.answered_since_ms
+        return self._configuration_watch.readable_since_ms
 
     # Life --------------------------------------------------------------------
 
@@ -228,7 +228,7 @@
         self.links.drop_silent(LINK_SILENCE_MS)
         self.readiness.check()
         self._settings_watch.check_signal()
-        if self._shutdown.is_over():
+        if self._shutdown.is_complete():
             self._log_writer.flush_buffer()
             self.stop()
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/departure.py
@@ -2,13 +2,13 @@
 
 from contextlib import ExitStack
 
-__all__ = ["LEAVE_AGAIN_MS", "STORE_MOST_MS", "Departure"]
+__all__ = ["LEAVE_RETRY_MS", "MAX_STORE_WAIT_MS", "Departure"]
 
 # An owner stores what it has heard before it gives its cells back: two appends. A busy
 # owner always has something to store, and tells what is left.
-STORE_MOST_MS = 500.0
+MAX_STORE_WAIT_MS = 500.0
 # Whether the cells can be given back is tried this often.
-LEAVE_AGAIN_MS = 5.0
+LEAVE_RETRY_MS = 5.0
 
 
 class Departure:
--- a/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
@@ -98,7 +98,7 @@
             self._daemon.metrics.observe("request", took_ms, kind=wanted.kind)
             if reply.outcome in (Outcome.REFUSED, Outcome.IN_DOUBT):
                 _log_refusal(wanted, queue, reply, took_ms)
-            if reply.outcome == Outcome.REFUSED and self._daemon.readiness.is_cut_off:
+            if reply.outcome == Outcome.REFUSED and self._daemon.readiness.is_isolated:
                 # Others can serve it: the caller need not wait, nor come back here.
                 request.keep_alive = False
                 reply = evolve(reply, retry_after_ms=0)
--- a/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
@@ -146,7 +146,7 @@
         self._set_timer(pending, pending.left_ms(), action)
 
     def _await_owner(self, call_id, pending):
-        in_vain = not pending.open_attempts and self._daemon.readiness.is_cut_off
+        in_vain = not pending.open_attempts and self._daemon.readiness.is_isolated
         if steady_ms() < pending.find_until_ms and not in_vain:
             self._set_timer(pending, FIND_PERIOD_MS, lambda: self._try(call_id))
         else:
@@ -266,7 +266,7 @@
         if address is None:
             return
         for owned in message.owned:
-            if self._daemon.directory.heard(owned.cell, address, owned.epoch):
+            if self._daemon.directory.record_owner(owned.cell, address, owned.epoch):
                 owner = OwnerRef(cell=owned.cell, address=address, epoch=owned.epoch)
                 self._send_to_successor(owner)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/handover.py
@@ -5,7 +5,7 @@
 from thymefork_net import steady_ms
 
 from .capacity import HandoverRule, OwnStatus
-from .departure import LEAVE_AGAIN_MS, STORE_MOST_MS, Departure
+from .departure import LEAVE_RETRY_MS, MAX_STORE_WAIT_MS, Departure
 from .membership import SLOW_JOIN_MS
 
 __all__ = ["Handover"]
@@ -37,7 +37,7 @@
         return self._rule.best_tier(steady_ms(), self._statuses())
 
     def _statuses(self):
-        return self._daemon.peers.members_heard.statuses
+        return self._daemon.peers.member_statuses.statuses
 
     @property
     def is_under_way(self):
@@ -77,7 +77,7 @@
         An owner whose link is full has slow appends, so slow ones don't hold it here.
         """
         daemon = self._daemon
-        if daemon.is_stopping or not daemon.membership.is_settled:
+        if daemon.is_stopping or not daemon.membership.is_stable:
             return False
         if self._store_is_slow():
             return False
@@ -88,7 +88,7 @@
 
         A takeover reads the whole cell, which takes long then.
         """
-        join_ms = self._daemon.peers.members_heard.join_ms()
+        join_ms = self._daemon.peers.member_statuses.join_ms()
         if join_ms is None:
             join_ms = self._daemon.membership.round_trip_ms
         return join_ms >= SLOW_JOIN_MS
@@ -119,7 +119,7 @@
         if not self._still_holds():
             self._give_up()
         elif self._has_to_wait():
-            self._daemon.timers.after(LEAVE_AGAIN_MS, self._go_on)
+            self._daemon.timers.after(LEAVE_RETRY_MS, self._go_on)
         else:
             self._leave()
 
@@ -138,10 +138,10 @@
 
     def _has_to_wait(self):
         spent_ms = steady_ms() - self._began_ms
-        if spent_ms < STORE_MOST_MS and self._departure.has_unstored:
+        if spent_ms < MAX_STORE_WAIT_MS and self._departure.has_unstored:
             return True
-        is_asking = self._daemon.membership.is_asking
-        return is_asking and spent_ms < STORE_MOST_MS + JOIN_MOST_MS
+        has_pending_join = self._daemon.membership.has_pending_join
+        return has_pending_join and spent_ms < MAX_STORE_WAIT_MS + JOIN_MOST_MS
 
     def _leave(self):
         reason, daemon = self._reason, self._daemon
--- a/packages/thymefork-daemon/src/thymefork_daemon/heard_end_buffer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/heard_end_buffer.py
@@ -12,12 +12,12 @@
 # An owner goes on for 8 s without the store, and a longer outage may pass before the
 # next one has taken over; after a minute callers have long come back with what they
 # want.
-KEPT_MS = 60_000.0
+RETENTION_MS = 60_000.0
 # At 100 starts a second this is 100 s of ends, some 2 MB; what comes beyond is dropped
 # and counted, and its tasks then run again as if nothing had been told.
-MOST_KEPT = 10_000
+MAX_ENDS_PER_CELL = 10_000
 # A message may have 1 MiB, and an end with a checkpoint takes up to about 300 bytes.
-MOST_PER_MESSAGE = 1_000
+MAX_ENDS_PER_MESSAGE = 1_000
 
 
 @frozen(kw_only=True)
@@ -87,9 +87,9 @@
     def _keep(self, cell, epoch, ends):
         self._forget_old(cell)
         kept = self._kept.setdefault(cell, {})
-        forget_at_ms = steady_ms() + KEPT_MS
+        forget_at_ms = steady_ms() + RETENTION_MS
         for end in ends:
-            if len(kept) >= MOST_KEPT:
+            if len(kept) >= MAX_ENDS_PER_CELL:
                 self._daemon.metrics.count("heard_ends", "dropped")
                 continue
             key = (end.task, end.run_id, end.worker_id)
@@ -117,6 +117,6 @@
         )
         for end in ends
     ]
-    for first in range(0, len(rows), MOST_PER_MESSAGE):
-        part = rows[first : first + MOST_PER_MESSAGE]
+    for first in range(0, len(rows), MAX_ENDS_PER_MESSAGE):
+        part = rows[first : first + MAX_ENDS_PER_MESSAGE]
         link.send(EndsHeard(cell=cell, epoch=epoch, ends=part))
--- a/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
@@ -23,7 +23,7 @@
         self._end_others(epochs)
         if self._daemon.is_stopping:
             return
-        self._daemon.worker_list.want(bool(epochs))
+        self._daemon.worker_list.set_wanted(bool(epochs))
         for cell, epoch in epochs.items():
             if cell not in self.owners:
                 owner = CellOwner(cell=cell, epoch=epoch, daemon=self._daemon)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -208,7 +208,7 @@
             pump=self._pump,
             performer=self._performer,
             timers=self._daemon.timers,
-            worker_list_as_of_ms=lambda: self._daemon.worker_list.known_ms,
+            worker_list_as_of_ms=lambda: self._daemon.worker_list.as_of_ms,
             advice_slots=self._advisers.wanted_slots,
             load_watch=self._daemon.owner_load,
         )
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_first.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_first.py
@@ -41,7 +41,7 @@
         """
         now_ms = steady_ms()
         self._first_asked_ms = self._first_asked_ms or now_ms
-        back_ms = self._daemon.store_answers_since_ms
+        back_ms = self._daemon.store_readable_since_ms
         if back_ms is None:
             return True
         was_away = back_ms - self._first_asked_ms > FIRST_ANSWER_MS
@@ -51,11 +51,11 @@
         daemon = self._daemon
         if not daemon.layout.cells or self._store_is_back():
             return False
-        if not daemon.readiness.hears_owners:
+        if not daemon.readiness.hears_all_owners:
             return False
         owners = map(daemon.directory.owner_of, range(daemon.layout.cells))
         return not all(daemon.peers.has_store(owner) for owner in owners)
 
     def _store_is_back(self):
-        back_ms = self._daemon.store_answers_since_ms
+        back_ms = self._daemon.store_readable_since_ms
         return back_ms is not None and steady_ms() - back_ms > PATIENCE_MS
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_load_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_load_watch.py
@@ -38,7 +38,7 @@
 
     def _join_ms(self):
         """Return how long a join takes where nothing but the store is slow."""
-        others_ms = self._daemon.peers.members_heard.join_ms()
+        others_ms = self._daemon.peers.member_statuses.join_ms()
         own_ms = self._daemon.membership.round_trip_ms
         return own_ms if others_ms is None else min(own_ms, others_ms)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -16,7 +16,7 @@
 
 from .limit_part_router import LIMIT_PART_MESSAGES
 from .member_statuses import MemberStatuses
-from .owner_watch import OWNER_BEAT_MS, OwnerWatch
+from .owner_watch import OWNER_HEARTBEAT_MS, OwnerWatch
 
 __all__ = ["PeerDispatcher"]
 
@@ -36,18 +36,18 @@
 
     def __init__(self, *, daemon):
         self._daemon = daemon
-        self.members_heard = MemberStatuses()
+        self.member_statuses = MemberStatuses()
         self._member_links = set()
         self._newcomers = set()
         self._owned_by_link = {}
-        self._gave_up_ms = {}
+        self._released_ms = {}
         self._without_store = set()
         self._leaving = set()
         self._moving_parts = set()
         self._asked_calls = set()
         self._neighbours_due_ms = 0.0
         self._owner_watch = None
-        daemon.timers.every(OWNER_BEAT_MS, self._beat)
+        daemon.timers.every(OWNER_HEARTBEAT_MS, self._send_owner_heartbeat)
 
     def send_heartbeats(self):
         """Tell the peers which cells are owned here."""
@@ -62,7 +62,7 @@
         links = {link.listener_address: link for link in self._member_links}
         return list(links.values())
 
-    def _beat(self):
+    def _send_owner_heartbeat(self):
         if self._daemon.membership.in_group and self._owner_watch is None:
             self._owner_watch = OwnerWatch(daemon=self._daemon)
         self._beat_as_owner()
@@ -164,7 +164,7 @@
 
     def _on_heartbeat(self, link, message):
         address = link.listener_address
-        self.members_heard.on_heartbeat(address, message)
+        self.member_statuses.on_heartbeat(address, message)
         if message.leaving:
             self._leaving.add(address)
         else:
@@ -195,11 +195,11 @@
         owned = {owned.cell for owned in message.owned}
         gives_up = bool(self._owned_by_link.get(link, set()) - owned)
         if gives_up:
-            self._gave_up_ms[link] = steady_ms()
+            self._released_ms[link] = steady_ms()
         has_left = message.leaving and not owned
         if gives_up or has_left or self._is_leaving_group(link, message):
             # A cell was given up: the next join brings it to its new owner.
-            self._daemon.membership.hurry()
+            self._daemon.membership.join_now()
         self._owned_by_link[link] = owned
 
     def withdraw_advice(self, link, call_ids):
@@ -219,7 +219,7 @@
         It says that it owns nothing once it decided so, and again when the leave was
         carried out, which alone has the next join bring the cell.
         """
-        gave_up_ms = self._gave_up_ms.get(link, float("-inf"))
+        gave_up_ms = self._released_ms.get(link, float("-inf"))
         return not message.in_group and steady_ms() - gave_up_ms < LEAVE_MOST_MS
 
     def _advise(self, link, message):
@@ -260,9 +260,9 @@
         """Route around a link that broke."""
         self._member_links.discard(link)
         self._newcomers.discard(link)
-        self.members_heard.forget(link.listener_address)
+        self.member_statuses.forget(link.listener_address)
         self._owned_by_link.pop(link, None)
-        self._gave_up_ms.pop(link, None)
+        self._released_ms.pop(link, None)
         self._daemon.gateway.on_link_broken(link)
         if link.was_refused:
             self._daemon.directory.remove_dead(link.address)
@@ -270,7 +270,7 @@
             for cell in range(self._daemon.layout.cells):
                 if self._daemon.directory.owner_of(cell) == link.address:
                     self._daemon.directory.forget(cell, link.address)
-        self._daemon.membership.hurry()
+        self._daemon.membership.join_now()
         if link.connected and link.address is not None:
             # If the process is gone, the new connection is refused at once.
             self._daemon.links.to(link.address)
--- a/packages/thymefork-daemon/src/thymefork_daemon/standby.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/standby.py
@@ -21,7 +21,7 @@
 # All that stand by learn at once that members are missing. Each waits for its share
 # of this time, so that the first has joined, and is listed, before most have: the list
 # of members is read each 0.2 s while an owner is missing.
-SPREAD_MS = 1_200.0
+JOIN_JITTER_MS = 1_200.0
 # Missing members are waited for by seconds; a check wakes an idle instance.
 CHECK_MS = 100.0
 
@@ -54,7 +54,7 @@
         self._owner_tier = owner_tier
         self._rest_until_ms = rest_until_ms
         self._is_stopping = is_stopping
-        self._share_ms = random.uniform(0.0, SPREAD_MS)
+        self._share_ms = random.uniform(0.0, JOIN_JITTER_MS)
         self._missing_since_ms = None
         self._has_joined = False
 
@@ -86,7 +86,7 @@
         if self._missing_since_ms is None:
             self._missing_since_ms = now_ms
         is_over = now_ms - self._missing_since_ms > self._wait_ms()
-        if is_over and self._directory.count_holds:
+        if is_over and self._directory.is_count_fresh:
             self._step_in("too few instances take part in owning the cells")
         else:
             self._directory.refresh()  # another one may have stepped in
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/sequenced_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/sequenced_store.py
@@ -24,7 +24,7 @@
     latency_ms: object = lambda: 3.0
     service_time_ms: object = lambda: 4.0
     draw_fault: object = lambda number: ""
-    late_ms: object = lambda: 3_000.0
+    delayed_ms: object = lambda: 3_000.0
     timeout_ms: float = 1_000.0
     fenced_from_ms: float = float("inf")
     last_number: int = 0
@@ -48,7 +48,7 @@
         self.timers.after(self.timeout_ms, call.expire)
         if fault == "lost_call":
             return
-        latency_ms = self.late_ms() if fault == "late_call" else self.latency_ms()
+        latency_ms = self.delayed_ms() if fault == "late_call" else self.latency_ms()
         self.timers.after(latency_ms, lambda: call.arrive(fault))
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
@@ -20,7 +20,7 @@
 class FakeMembership:
     """Be in the group or not; the group deals its one cell to the earliest member."""
 
-    is_asking = False
+    has_pending_join = False
     loses_leaves = False
     left_at_ms = None
 
@@ -39,7 +39,7 @@
         return self.in_group and not self._instance.has_store
 
     @property
-    def is_settled(self):
+    def is_stable(self):
         return self.in_group and self._instance.has_store
 
     def start(self):
@@ -118,11 +118,11 @@
         self.capacity = SimpleNamespace(tier=tier)
         self.owner_load = SimpleNamespace(load=OwnerLoad(link_mbps=0.0))
         self.peers = SimpleNamespace(
-            members_heard=MemberStatuses(), send_heartbeats=lambda: group.beat(self)
+            member_statuses=MemberStatuses(), send_heartbeats=lambda: group.beat(self)
         )
         self.layout = FakeLayout(group.known)
         self.directory = SimpleNamespace(
-            member_count=0, count_holds=True, refresh=lambda: None
+            member_count=0, is_count_fresh=True, refresh=lambda: None
         )
         self.membership = FakeMembership(group, self)
         self.owned_cells = SimpleNamespace(update=self._update_cells)
@@ -133,7 +133,7 @@
             directory=self.directory,
             layout=self.layout,
             tier=tier,
-            owner_tier=lambda: self.peers.members_heard.owner_tier(),
+            owner_tier=lambda: self.peers.member_statuses.owner_tier(),
             rest_until_ms=lambda: self.handover.rest_until_ms,
             is_stopping=lambda: self.is_stopping,
         )
@@ -210,7 +210,9 @@
     def beat(self, sender):
         for other in self.instances:
             if other is not sender and other.is_up and sender.is_up:
-                other.peers.members_heard.on_heartbeat(sender.name, sender.heartbeat())
+                other.peers.member_statuses.on_heartbeat(
+                    sender.name, sender.heartbeat()
+                )
 
     def lose(self, instances):
         for instance in instances:
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_in_doubt.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_in_doubt.py
@@ -220,7 +220,7 @@
             latency_ms=jittered(self._rng, latency_ms, self._rng.choice([0.1, 0.9])),
             service_time_ms=jittered(self._rng, self._rng.choice([4.0, 100.0])),
             draw_fault=self._draw,
-            late_ms=lambda: self._rng.uniform(500.0, 6_000.0),
+            delayed_ms=lambda: self._rng.uniform(500.0, 6_000.0),
             repeats_cost_service_time=self._rng.random() < 0.5,
         )
         if seed % 4 == 0:
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_at_a_slow_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_at_a_slow_store.py
@@ -43,7 +43,7 @@
             latency_ms=jittered(self.rng, 100.0, 0.6),
             service_time_ms=jittered(self.rng, 60.0),
             draw_fault=self.draw_fault,
-            late_ms=lambda: self.rng.uniform(500.0, 4_000.0),
+            delayed_ms=lambda: self.rng.uniform(500.0, 4_000.0),
         )
         self.cell = Cell(
             cell=0,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -55,7 +55,7 @@
         settings=SimpleNamespace(instance="edge-1", bounds=Bounds()),
         configuration=Configuration(version=1),
         worker_list=SimpleNamespace(
-            is_complete=True, entries={}, want=lambda wanted: None, known_ms=1e9
+            is_complete=True, entries={}, set_wanted=lambda wanted: None, as_of_ms=1e9
         ),
         links=SimpleNamespace(incoming=[]),
         peers=SimpleNamespace(send_heartbeats=lambda: None),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_frontend_keys.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_frontend_keys.py
@@ -77,7 +77,7 @@
         ),
         metrics=FakeMetrics(),
         gateway=FakeGateway(),
-        readiness=SimpleNamespace(is_cut_off=False),
+        readiness=SimpleNamespace(is_isolated=False),
         configuration=configuration(a=KEY, b=OTHER_KEY),
     )
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
@@ -10,17 +10,22 @@
 
 from thymefork_daemon import (
     handover as handover_module,
-    member_statuses as members_heard_module,
+    member_statuses as member_statuses_module,
     owner_directory,
     standby as standby_module,
 )
 from thymefork_daemon.capacity import Tier
-from thymefork_daemon.standby import BETTER_RETURN_MS, NEXT_TIER_MS, SPREAD_MS
+from thymefork_daemon.standby import BETTER_RETURN_MS, JOIN_JITTER_MS, NEXT_TIER_MS
 from thymefork_net.peers import Heartbeat
 
 from .simulated_group import STEP_MS, SimulatedGroup
 
-CLOCK_MODULES = (handover_module, members_heard_module, owner_directory, standby_module)
+CLOCK_MODULES = (
+    handover_module,
+    member_statuses_module,
+    owner_directory,
+    standby_module,
+)
 
 
 @pytest.fixture(params=[1, 2, 3])
@@ -65,7 +70,7 @@
     group.lose(group.of(Tier.FULL))
     group.run(int(BETTER_RETURN_MS) - 100)
     assert not group.members
-    group.run(int(SPREAD_MS) + 300)
+    group.run(int(JOIN_JITTER_MS) + 300)
     assert group.owner.tier is Tier.PARTIAL
     group.run(20_000)
     assert {member.tier for member in group.members} == {Tier.PARTIAL}
@@ -73,7 +78,7 @@
 
 def test_the_least_stand_in_where_nobody_else_is_left(group):
     group.lose(group.of(Tier.FULL) + group.of(Tier.PARTIAL))
-    group.run(int(BETTER_RETURN_MS + NEXT_TIER_MS + SPREAD_MS) + 300)
+    group.run(int(BETTER_RETURN_MS + NEXT_TIER_MS + JOIN_JITTER_MS) + 300)
     assert group.owner.tier is Tier.LEAST
 
 
@@ -194,7 +199,7 @@
     stand_in = group.owner
     message = Heartbeat(owned=[], config_version=1, leaving=False, in_group=True)
     for _ in range(20):
-        stand_in.peers.members_heard.on_heartbeat("old", message)
+        stand_in.peers.member_statuses.on_heartbeat("old", message)
         group.run(250)
     assert group.owner is stand_in
 
@@ -252,7 +257,7 @@
     group.lose(full)
     for _ in range(20):
         for instance in full:  # their links broke
-            stand_in.peers.members_heard.forget(instance.name)
+            stand_in.peers.member_statuses.forget(instance.name)
         group.run(50)
     assert group.owner is stand_in and not stand_in.told
     assert ("owner_handovers_given_up", "better_tier") in stand_in.metrics.counts
@@ -322,7 +327,7 @@
     """Carried out after the leave it would have the cell dealt to who left it."""
     group.run(5_000)
     first = group.owner
-    first.membership.is_asking = True
+    first.membership.has_pending_join = True
     overload(first)
     run_until_it_leaves(group, first)
     group.run(600)
@@ -334,11 +339,11 @@
 def test_a_join_that_is_answered_lets_a_handover_go_on(group):
     group.run(5_000)
     first = group.owner
-    first.membership.is_asking = True
+    first.membership.has_pending_join = True
     overload(first)
     run_until_it_leaves(group, first)
     group.run(50)
     assert group.owner is first
-    first.membership.is_asking = False
+    first.membership.has_pending_join = False
     group.run(50)
     assert group.owner is not first
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_heard_end_buffer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_heard_end_buffer.py
@@ -10,7 +10,11 @@
 
 from thymefork_cells import HeardEnd
 from thymefork_daemon import heard_end_buffer as heard_ends_module
-from thymefork_daemon.heard_end_buffer import KEPT_MS, MOST_PER_MESSAGE, HeardEndBuffer
+from thymefork_daemon.heard_end_buffer import (
+    MAX_ENDS_PER_MESSAGE,
+    RETENTION_MS,
+    HeardEndBuffer,
+)
 from thymefork_net.peers import EndsHeard, Heartbeat, OwnedCell
 from thymefork_net.peers.envelope import decode, encode
 
@@ -133,7 +137,7 @@
 def test_what_was_told_is_forgotten(daemon, timers):
     heard = HeardEndBuffer(daemon=daemon)
     heard.on_message(told([end(1)], epoch=3))
-    timers.run(KEPT_MS + 1)
+    timers.run(RETENTION_MS + 1)
     assert heard.before(CELL, 4) == []
 
 
@@ -148,10 +152,10 @@
 
 
 def test_many_ends_go_in_messages_of_bounded_size(daemon, timers):
-    ends = [end(number) for number in range(MOST_PER_MESSAGE + 1)]
+    ends = [end(number) for number in range(MAX_ENDS_PER_MESSAGE + 1)]
     HeardEndBuffer(daemon=daemon).tell(CELL, 3, ends)
     sizes = [len(message.ends) for message in daemon.peers.member_links[0].sent]
-    assert sizes == [MOST_PER_MESSAGE, 1]
+    assert sizes == [MAX_ENDS_PER_MESSAGE, 1]
 
 
 def test_a_heartbeat_is_still_read_beside_the_new_message():
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
@@ -84,7 +84,7 @@
         link=link,
         owner_addresses={1: PEER},
         settings=SimpleNamespace(peer=OWN),
-        membership=SimpleNamespace(in_group=False, hurry=lambda: None),
+        membership=SimpleNamespace(in_group=False, join_now=lambda: None),
         owned_cells=SimpleNamespace(on_peer_owns=lambda owned: None),
         gateway=SimpleNamespace(on_heartbeat=lambda link, message: None),
         links=SimpleNamespace(to=lambda address: link),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_directory.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_directory.py
@@ -124,7 +124,7 @@
 
 def test_an_epoch_belongs_to_the_owner_that_told_it(directory, store, timers):
     assert directory.epoch_of(0) is None
-    directory.heard(0, OWNER, 3)
+    directory.record_owner(0, OWNER, 3)
     assert directory.epoch_of(0) == 3
     directory.refresh()
     answer_reads(store, timers, (row(SUCCESSOR),), 20)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_first.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_first.py
@@ -16,9 +16,9 @@
         owners={},
         layout=SimpleNamespace(cells=2),
         directory=SimpleNamespace(owner_of=lambda cell: f"owner-{cell}"),
-        readiness=SimpleNamespace(hears_owners=True),
+        readiness=SimpleNamespace(hears_all_owners=True),
         peers=SimpleNamespace(has_store=lambda address: address not in daemon.without),
-        store_answers_since_ms=None,
+        store_readable_since_ms=None,
         without={"owner-1"},
         membership=SimpleNamespace(in_group=True),
     )
@@ -40,13 +40,13 @@
 
 
 def test_nobody_waits_for_an_owner_that_is_not_heard(daemon, timers):
-    daemon.readiness.hears_owners = False
+    daemon.readiness.hears_all_owners = False
     assert not OwnerFirst(daemon=daemon).waits()
 
 
 def test_nobody_waits_long_for_an_owner_that_is_cut_off_by_itself(daemon, timers):
     first = OwnerFirst(daemon=daemon)
-    daemon.store_answers_since_ms = timers.now_ms
+    daemon.store_readable_since_ms = timers.now_ms
     timers.run(300)
     assert first.waits()
     timers.run(200)
@@ -68,12 +68,12 @@
         self.daemon = daemon
         self.timers = timers
         daemon.layout.cells = 0
-        daemon.readiness.hears_owners = False
+        daemon.readiness.hears_all_owners = False
         daemon.membership = SimpleNamespace(in_group=False)
         self._first = OwnerFirst(daemon=daemon)
 
     def read_is_answered(self):
-        self.daemon.store_answers_since_ms = self.timers.now_ms
+        self.daemon.store_readable_since_ms = self.timers.now_ms
 
     def waits(self):
         return self._first.waits()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
@@ -32,11 +32,11 @@
             heard_share=lambda ms: daemon.share,
         ),
         membership=SimpleNamespace(
-            is_well=True,
+            is_healthy=True,
             in_group=True,
             store_lost=False,
             renewed_ms=timers.now_ms + 1,
-            hurry=lambda: hurried.append(1),
+            join_now=lambda: hurried.append(1),
         ),
         peers=SimpleNamespace(is_leaving=lambda address: daemon.owner_leaves),
         owner_leaves=False,
@@ -74,7 +74,7 @@
     membership had lapsed. An owner that leaves is no loss: whoever has the store may
     replace it.
     """
-    daemon.membership.is_well = False
+    daemon.membership.is_healthy = False
     timers.run(500)
     assert not daemon.removed
     daemon.owner_leaves = True
@@ -84,7 +84,7 @@
 
 def test_nobody_without_the_store_takes_out_an_owner_that_leaves(daemon, timers):
     daemon.owner_leaves = True
-    daemon.membership.is_well = False
+    daemon.membership.is_healthy = False
     daemon.membership.store_lost = True
     timers.run(1_000)
     assert not daemon.removed
@@ -104,7 +104,7 @@
 
 
 def test_an_instance_without_the_store_judges_nobody(daemon, timers):
-    daemon.membership.is_well = False
+    daemon.membership.is_healthy = False
     timers.run(2_000)
     assert not daemon.removed
 
@@ -184,7 +184,7 @@
         is_stopping=False,
         layout=SimpleNamespace(cells=0),
         membership=SimpleNamespace(
-            in_group=True, store_lost=False, round_trip_ms=6.0, hurry=lambda: None
+            in_group=True, store_lost=False, round_trip_ms=6.0, join_now=lambda: None
         ),
         gateway=SimpleNamespace(on_link_broken=lambda link: None),
         metrics=FakeMetrics(),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -124,7 +124,7 @@
     """It keeps its cells for now, and a join of every member at each beat is dear."""
     daemon = make_daemon(timers, in_group=True, opened=[])
     hurried = []
-    daemon.membership.hurry = lambda: hurried.append(1)
+    daemon.membership.join_now = lambda: hurried.append(1)
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
@@ -260,7 +260,7 @@
     """
     daemon = make_daemon(timers, in_group=True, opened=[])
     hurried = []
-    daemon.membership.hurry = lambda: hurried.append(timers.now_ms)
+    daemon.membership.join_now = lambda: hurried.append(timers.now_ms)
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
@@ -83,7 +83,7 @@
     daemon.shutdown.begin()
     timers.run(4_000)
     assert not daemon.owner.ended
-    assert not daemon.shutdown.is_over()
+    assert not daemon.shutdown.is_complete()
     daemon.membership.store_lost = False
     daemon.owner.store_answers = True
     timers.run(100)
@@ -91,7 +91,7 @@
     daemon.owner.has_unstored = False
     timers.run(100)
     assert daemon.owner.ended and "left" in daemon.log
-    assert daemon.shutdown.is_over()
+    assert daemon.shutdown.is_complete()
 
 
 def test_an_owner_without_the_store_keeps_cells_though_nothing_waits(daemon, timers):
@@ -109,7 +109,7 @@
     timers.run(GRACE_MS - 600)
     assert daemon.log[:2] == ["told", "ended"]
     timers.run(200)
-    assert daemon.shutdown.is_over()
+    assert daemon.shutdown.is_complete()
 
 
 def test_an_instance_whose_cells_are_another_s_does_not_wait(daemon, timers):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_standby.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_standby.py
@@ -80,7 +80,7 @@
     began_ms = timers.now_ms
     instances.run(5_000)
     assert 3 <= len(instances.joined) <= max(3, count // 2)
-    assert instances.joined[0] - began_ms <= standby_module.SPREAD_MS + 300
+    assert instances.joined[0] - began_ms <= standby_module.JOIN_JITTER_MS + 300
 
 
 def test_small_ones_leave_large_ones_time_to_return(timers):
--- a/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
@@ -29,7 +29,7 @@
 class WorkerListWatch:
     """Follow the list while it is wanted.
 
-    `on_unreadable` is called for each record that is no worker's entry. `known_ms` is
+    `on_unreadable` is called for each record that is no worker's entry. `as_of_ms` is
     when the last reading that was answered had been sent: what the list says held then,
     however much later a paused process reads the answer.
     """
@@ -45,11 +45,11 @@
         self._running = False
         self._answered_ms = steady_ms()
         self._returned_until_ms = 0.0
-        self.known_ms = 0.0
+        self.as_of_ms = 0.0
         self._listed = {}
         self._kept = {}
 
-    def want(self, wanted):
+    def set_wanted(self, wanted):
         """Begin or end following."""
         self._wanted = wanted
         if wanted and not self._running:
@@ -60,7 +60,7 @@
 
     def _again(self, action):
         if self._wanted:
-            is_stale = steady_ms() - self.known_ms > WORKER_LIST_MAX_AGE_MS
+            is_stale = steady_ms() - self.as_of_ms > WORKER_LIST_MAX_AGE_MS
             period_ms = STALE_PERIOD_MS if is_stale else PERIOD_MS
             self._timers.after(period_ms, action)
         else:
@@ -68,7 +68,7 @@
 
     def _note_answer(self, sent_ms):
         """Note that the store answers; after an outage, let workers come back."""
-        self.known_ms = sent_ms
+        self.as_of_ms = sent_ms
         now_ms = steady_ms()
         if now_ms - self._answered_ms > AWAY_MS and self._listed:
             self._returned_until_ms = now_ms + RETURN_MS
