--- a/packages/thymefork-cells/src/thymefork_cells/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/__init__.py
@@ -2,7 +2,7 @@
 
 from .cell import Cell
 from .context import WORKER_LIST_MAX_AGE_MS
-from .estimates.speed_news import TELL_AGAIN_MS
+from .estimates.speed_announcements import REANNOUNCE_MS
 from .estimates.worker_speeds import LearnedSpeed
 from .hashing import cell_of
 from .jobs.codec import decode_spec, encode_spec
@@ -12,7 +12,7 @@
 
 __all__ = [
     "LONG_CALL_MS",
-    "TELL_AGAIN_MS",
+    "REANNOUNCE_MS",
     "WORKER_LIST_MAX_AGE_MS",
     "AdviceSlots",
     "Cell",
--- a/packages/thymefork-cells/src/thymefork_cells/advice/desk.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
@@ -4,9 +4,9 @@
 
 from ..effects import RequestAdvice
 from ..state import Ticket
-from .choice import AllowedShares, choose_workers, has_tickets_to_wait
+from .worker_selection import ApprovalRates, choose_workers, has_enough_tickets
 
-__all__ = ["AdviceDesk"]
+__all__ = ["AdviceRequester"]
 
 # The service takes at most this many workers in one call.
 MOST_WORKERS = 100
@@ -38,14 +38,14 @@
 AHEAD_MS = 250.0
 
 
-class AdviceDesk:
+class AdviceRequester:
     """Keep tickets ready for the steps whose turn comes."""
 
-    def __init__(self, *, context, images, speeds):
+    def __init__(self, *, context, durations, speeds):
         self._context = context
-        self._images = images
+        self._durations = durations
         self._speeds = speeds
-        self._shares = AllowedShares()
+        self._shares = ApprovalRates()
         self._wanting = []
 
     def policy(self, step):
@@ -72,7 +72,7 @@
             return True
         return step.ticket_for(worker.worker_id, now_ms) is not None
 
-    def consider(self, step, workers, now_ms, *, may_start, is_starved=False):
+    def queue_request(self, step, workers, now_ms, *, may_start, is_starved=False):
         """Note that a step may want a call, if its tickets may be missing soon.
 
         `workers` are given by id; `may_start` is how many tasks of the step its account
@@ -99,7 +99,7 @@
         steps += BEYOND_SHARE_STEPS * step.job.is_beyond_share
         return steps + HELD_BACK_STEPS * (not may_start)
 
-    def ask(self, now_ms, *, permits):
+    def send_requests(self, now_ms, *, permits):
         """Make the calls that were wanted, as many as there are instances for.
 
         The workers are chosen as a call is made: one that waits for an instance waits
@@ -180,20 +180,20 @@
                 step, worker, now_ms
             )
             (with_room if has_capacity and is_of_use(worker) else others).append(worker)
-        if step.ready and not with_room and has_tickets_to_wait(held, wanted):
+        if step.ready and not with_room and has_enough_tickets(held, wanted):
             return self._to_renew(step, workers, now_ms)
-        chance = None
-        if self._speeds.is_uneven:
-            chance = self._images.late_chance(step, now_ms)
+        lateness = None
+        if self._speeds.is_heterogeneous:
+            lateness = self._durations.late_chance(step, now_ms)
         return choose_workers(
             step,
             with_room,
             others,
             wanted,
-            share=self._shares.of(step.job.queue_name),
+            approval_rate=self._shares.rate_of(step.job.queue_name),
             waited_ms=step.longest_wait_ms(now_ms),
             most=MOST_WORKERS,
-            chance=chance,
+            lateness=lateness,
         )
 
     @staticmethod
@@ -213,7 +213,7 @@
 
         return is_of_use
 
-    def may_find_others(self, step, workers):
+    def has_unasked_workers(self, step, workers):
         """Tell whether there are workers that a step was not asked about yet."""
         if self.policy(step) is None:
             return False
@@ -260,9 +260,9 @@
                     continue
                 run = task.active_run
                 if run is None:
-                    left_ms = self._images.expected_ms(earlier.spec) + AHEAD_MS
+                    left_ms = self._durations.expected_ms(earlier.spec) + AHEAD_MS
                 else:
-                    left_ms = self._images.left_ms(run, now_ms)
+                    left_ms = self._durations.left_ms(run, now_ms)
                 longest_ms = max(longest_ms, left_ms)
         return longest_ms
 
--- a/packages/thymefork-cells/src/thymefork_cells/cell.py
+++ b/packages/thymefork-cells/src/thymefork_cells/cell.py
@@ -1,10 +1,10 @@
 """One cell: a share of the workers of every hall and a share of the jobs."""
 
 from .accounts import JobRateShares, PartExchange, PartsLedger, Quotas
-from .advice.desk import AdviceDesk
+from .advice.requester import AdviceRequester
 from .context import CellContext
-from .estimates.images import ImageTimes
-from .estimates.room_forecast import RoomForecast
+from .estimates.capacity_forecast import CapacityForecast
+from .estimates.image_durations import ImageDurations
 from .estimates.speed_learner import SpeedLearner
 from .estimates.worker_speeds import WorkerSpeeds
 from .jobs.inherited_ends import InheritedEnds
@@ -13,10 +13,10 @@
 from .jobs.journal import Journal
 from .jobs.lifecycle import Lifecycle
 from .jobs.unstored_ends import UnstoredEnds
+from .placement.crash_isolation import CrashIsolation
 from .placement.placer import Placer
 from .placement.preemptor import Preemptor
 from .placement.reservations import Reservations
-from .placement.trials import Trials
 from .workers.commands import CommandTracker, Refusal
 from .workers.extended_leases import ExtendedLeases
 from .workers.gang_monitor import GangMonitor
@@ -54,10 +54,10 @@
         self.context.journal = Journal()
         self.quorum = Quorum(context=self.context, membership_ms=membership_ms)
         self._review_due_ms = now_ms
-        self.images = ImageTimes()
+        self.durations = ImageDurations()
         self.speeds = WorkerSpeeds()
         self.speed_learner = SpeedLearner(
-            context=self.context, images=self.images, speeds=self.speeds
+            context=self.context, durations=self.durations, speeds=self.speeds
         )
         self.lifecycle = Lifecycle(context=self.context)
         self.losses = WorkerLosses(context=self.context, lifecycle=self.lifecycle)
@@ -101,9 +101,9 @@
             shares=self.shares,
             worker_of=self.registry.get_or_add_placeholder,
         )
-        forecast = RoomForecast(context=self.context, images=self.images)
-        self.advice = AdviceDesk(
-            context=self.context, images=self.images, speeds=self.speeds
+        forecast = CapacityForecast(context=self.context, durations=self.durations)
+        self.advice = AdviceRequester(
+            context=self.context, durations=self.durations, speeds=self.speeds
         )
         self.commands = CommandTracker(
             context=self.context,
@@ -114,19 +114,19 @@
         self.placer = Placer(
             context=self.context,
             advice=self.advice,
-            images=self.images,
+            durations=self.durations,
             preemptor=Preemptor(
-                context=self.context, lifecycle=self.lifecycle, images=self.images
+                context=self.context, lifecycle=self.lifecycle, durations=self.durations
             ),
             reservations=Reservations(
-                context=self.context, images=self.images, forecast=forecast
+                context=self.context, durations=self.durations, forecast=forecast
             ),
-            trials=Trials(),
+            trials=CrashIsolation(),
             quotas=self.quotas,
             speeds=self.speeds,
         )
         self.progress_monitor = ProgressMonitor(
-            context=self.context, lifecycle=self.lifecycle, images=self.images
+            context=self.context, lifecycle=self.lifecycle, durations=self.durations
         )
         self.gang_monitor = GangMonitor(context=self.context, lifecycle=self.lifecycle)
         self.pacing = PaceController(context=self.context)
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/images.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/image_durations.py
@@ -2,9 +2,9 @@
 
 from collections import OrderedDict
 
-from .late_chance import LateChance
+from .lateness_probability import LatenessProbability
 
-__all__ = ["ImageTimes"]
+__all__ = ["ImageDurations"]
 
 # A new duration counts this much beside what was known.
 WEIGHT_OF_NEWEST = 0.3
@@ -18,10 +18,10 @@
 # A start is stored and sent before a task begins, its end heard and stored after it.
 OVERHEAD_MS = 100.0
 # Images are callers' text, a new one for each build: those seen last are kept.
-MOST_IMAGES = 1_000
+MAX_IMAGES = 1_000
 
 
-class ImageTimes:
+class ImageDurations:
     """Learn durations by image, since callers' estimates are far off.
 
     What is kept is the time on an ordinary worker; on a given one it is as many times
@@ -39,7 +39,7 @@
         outlier = took_ms > OUTLIER * known_ms
         weight = WEIGHT_OF_OUTLIER if outlier else WEIGHT_OF_NEWEST
         self._mean_ms[image] = known_ms + weight * (took_ms - known_ms)
-        while len(self._mean_ms) > MOST_IMAGES:
+        while len(self._mean_ms) > MAX_IMAGES:
             self._mean_ms.popitem(last=False)
 
     def known_ms(self, image):
@@ -68,7 +68,7 @@
         if step.spec.long_running or step.spec.fills_idle_cpu or not job.objective_ms:
             return None
         chain_ms = self._later_chain_ms(job.spec.steps, step.index)
-        return LateChance(
+        return LatenessProbability(
             usual_ms=self.expected_ms(step.spec),
             left_ms=job.objective_ms - chain_ms - now_ms - OVERHEAD_MS,
         )
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/speed_learner.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/speed_learner.py
@@ -3,7 +3,7 @@
 from math import exp
 
 from ..effects import AnnounceSpeeds
-from .speed_news import SpeedNews
+from .speed_announcements import SpeedAnnouncements
 
 __all__ = ["SpeedLearner"]
 
@@ -27,11 +27,11 @@
 class SpeedLearner:
     """Learn from good ends and give each worker its slowness."""
 
-    def __init__(self, *, context, images, speeds):
+    def __init__(self, *, context, durations, speeds):
         self._context = context
-        self._images = images
+        self._durations = durations
         self._speeds = speeds
-        self._news = SpeedNews(speeds=speeds)
+        self._news = SpeedAnnouncements(speeds=speeds)
         self._review_due_ms = 0.0
         self._note_due_ms = 0.0
         self._tell_due_ms = 0.0
@@ -39,7 +39,7 @@
     def on_done(self, run, now_ms):
         """Learn from the good end of a run that this owner saw begin."""
         took_ms = now_ms - run.began_ms
-        self._images.learn(run.step.image, took_ms / run.slowness)
+        self._durations.learn(run.step.image, took_ms / run.slowness)
         if not run.is_speed_learned:
             self._learn(run, took_ms, now_ms)
 
@@ -88,12 +88,12 @@
         if not machines:
             return
         if self._speeds.review(machines):
-            kind = "uneven" if self._speeds.is_uneven else "even"
+            kind = "uneven" if self._speeds.is_heterogeneous else "even"
             self._context.count("speeds", kind)
             self._context.note("workers_are", speeds=kind, workers=len(machines))
         for worker in workers:
             worker.slowness = self._speeds.slowness(worker.machine)
-        if not self._speeds.is_uneven:
+        if not self._speeds.is_heterogeneous:
             return
         self._note(machines, now_ms)
         self._tell(machines, now_ms)
@@ -126,7 +126,7 @@
         if now_ms < self._tell_due_ms:
             return
         self._tell_due_ms = now_ms + TELL_MS
-        news = self._news.take(machines, MOST_TOLD, now_ms)
+        news = self._news.next_batch(machines, MOST_TOLD, now_ms)
         if news:
             self._context.emit(AnnounceSpeeds(speeds=tuple(news)))
 
--- a/packages/thymefork-cells/src/thymefork_cells/placement/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/__init__.py
@@ -1,30 +1,36 @@
 """Placing: which tasks start next, and on which workers."""
 
-from .gang_choice import workers_for_gang
+from .crash_isolation import ISOLATE_AFTER_LOSSES, CrashIsolation
+from .gang_workers import workers_for_gang
+from .placement_log import PlacementLog
 from .placer import Placer
-from .placing_notes import PlacingNotes
 from .preemptor import Preemptor
 from .reservations import Reservations
-from .speed_fit import SpeedFit
+from .speed_scorer import SpeedScorer
 from .starvation import starved_ms
 from .step_order import StepOrder
-from .trials import APART_AFTER, Trials
-from .worker_choice import WorkerRanking, best_hall, copies_in, fit_score, fits_labels
+from .worker_ranking import (
+    WorkerRanking,
+    best_hall,
+    fit_score,
+    has_required_label,
+    task_capacity,
+)
 
 __all__ = [
-    "APART_AFTER",
+    "ISOLATE_AFTER_LOSSES",
+    "CrashIsolation",
+    "PlacementLog",
     "Placer",
-    "PlacingNotes",
     "Preemptor",
     "Reservations",
-    "SpeedFit",
+    "SpeedScorer",
     "StepOrder",
-    "Trials",
     "WorkerRanking",
     "best_hall",
-    "copies_in",
     "fit_score",
-    "fits_labels",
+    "has_required_label",
     "starved_ms",
+    "task_capacity",
     "workers_for_gang",
 ]
--- a/packages/thymefork-cells/src/thymefork_cells/placement/placing_notes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placement_log.py
@@ -2,14 +2,14 @@
 
 from attrs import field, frozen
 
-__all__ = ["PlacingNotes"]
+__all__ = ["PlacementLog"]
 
 # A step that has waited this long is logged with what it lacks, and so on.
 NOTE_WAIT_MS = 2_000.0
 
 
 @frozen(kw_only=True)
-class PlacingNotes:
+class PlacementLog:
     """Tell which tasks start together, and what a step lacks that waits."""
 
     _context = field()
@@ -17,7 +17,7 @@
     _quotas = field()
     _used_shares = field()
 
-    def note_starts(self, step, starts, wanted, now_ms):
+    def log_starts(self, step, starts, wanted, now_ms):
         """Log one line for all tasks of a step that start together."""
         if not starts:
             return
@@ -61,7 +61,7 @@
         for _, worker in starts:
             self._context.count("placed_by_speed", labels[worker.slowness])
 
-    def note_wait(self, step, workers, now_ms):
+    def log_wait(self, step, workers, now_ms):
         """Log why a step's tasks have not been started for a while."""
         if now_ms - max(step.ready_ms, step.wait_logged_ms) <= NOTE_WAIT_MS:
             return
--- a/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
@@ -20,7 +20,7 @@
     """
 
     _context = field()
-    _images = field()
+    _durations = field()
     _used_shares = field()
 
     def steps(self, now_ms):
@@ -93,4 +93,4 @@
         """Tell whether a copy of a run would end sooner than the run itself."""
         if run.worker.is_silent(now_ms):
             return True
-        return self._images.late_ms(run, now_ms) > 0
+        return self._durations.late_ms(run, now_ms) > 0
--- a/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_order_of_penalties.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_penalty_order.py
@@ -10,12 +10,12 @@
 import pytest
 from attrs import evolve
 
-from thymefork_cells.placement.trials import Trials
-from thymefork_cells.placement.worker_choice import OTHER_HALL_PENALTY, fit_score
+from thymefork_cells.placement.crash_isolation import CrashIsolation
+from thymefork_cells.placement.worker_ranking import OTHER_HALL_PENALTY, fit_score
 from thymefork_cells.specs import StepSpec
 from thymefork_cells.state.worker_health import FAILURES_TO_QUARANTINE
 
-from .test_speed_fit import FAST, SLOW, fit, worker
+from .test_speed_scorer import FAST, SLOW, fit, worker
 
 SLACK_MS, TIGHT_MS, LATE_MS = 60_000.0, 1_400.0, -1.0
 SPEC = StepSpec(count=1, cpu_milli=1_000, memory_mb=100, estimated_ms=850)
@@ -86,7 +86,9 @@
 
 def test_a_suspected_task_is_tried_on_a_sound_worker_first():
     step = SimpleNamespace(spec=SPEC, job=None)
-    assert Trials.rate(step, worker(1, SLOW)) < Trials.rate(step, worker(0, 15.0))
+    assert CrashIsolation.rate(step, worker(1, SLOW)) < CrashIsolation.rate(
+        step, worker(0, 15.0)
+    )
 
 
 def test_a_gang_takes_no_machine_that_is_far_slower_before_others():
--- a/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_fit.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_scorer.py
@@ -6,9 +6,9 @@
 import pytest
 
 from thymefork_cells.advice import choose_workers
-from thymefork_cells.estimates import LateChance
-from thymefork_cells.placement import SpeedFit
-from thymefork_cells.placement.worker_choice import OTHER_HALL_PENALTY
+from thymefork_cells.estimates import LatenessProbability
+from thymefork_cells.placement import SpeedScorer
+from thymefork_cells.placement.worker_ranking import OTHER_HALL_PENALTY
 from thymefork_cells.specs import StepSpec, WorkerEntry
 from thymefork_cells.state import Worker
 
@@ -31,8 +31,8 @@
 
 
 def fit(left_ms, *, is_first=True):
-    chance = LateChance(usual_ms=USUAL_MS, left_ms=left_ms)
-    return SpeedFit(chance=chance, is_first=is_first)
+    lateness = LatenessProbability(usual_ms=USUAL_MS, left_ms=left_ms)
+    return SpeedScorer(lateness=lateness, is_first=is_first)
 
 
 @pytest.mark.parametrize("is_first", [True, False])
@@ -70,10 +70,10 @@
         workers,
         [],
         2,
-        share=0.7,
+        approval_rate=0.7,
         waited_ms=0.0,
         most=100,
-        chance=LateChance(usual_ms=USUAL_MS, left_ms=left_ms),
+        lateness=LatenessProbability(usual_ms=USUAL_MS, left_ms=left_ms),
     )
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_worker_choice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_worker_ranking.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from thymefork_cells.placement.worker_choice import (
+from thymefork_cells.placement.worker_ranking import (
     OTHER_HALL_PENALTY,
     WorkerRanking,
     fit_score,
@@ -16,7 +16,7 @@
 HALLS = ("a", "b", "c")
 
 
-def best_by_scan(spec, task, workers, counts, hall):
+def best_by_scan(spec, task, workers, tasks_per_worker, hall):
     """Return the best worker by rating all of them: the reference."""
     best, best_score = None, None
     for worker in workers:
@@ -28,7 +28,10 @@
             continue
         if any(run.worker is worker for run in task.runs):
             continue
-        if counts and counts.get(worker.worker_id, 0) >= spec.most_per_worker:
+        if (
+            tasks_per_worker
+            and tasks_per_worker.get(worker.worker_id, 0) >= spec.most_per_worker
+        ):
             continue
         score = fit_score(spec, worker)
         if worker.entry.hall != hall:
@@ -104,20 +107,24 @@
     rng = random.Random(seed)
     workers, spec, hall = make_workers(rng), make_spec(rng), rng.choice(HALLS)
     tasks = make_tasks(rng, spec, workers)
-    counts = tasks[0].step.runs_per_worker() if spec.most_per_worker else None
+    tasks_per_worker = tasks[0].step.runs_per_worker() if spec.most_per_worker else None
     ranking = WorkerRanking(
         rate=partial(fit_score, spec),
         spec=spec,
         workers=workers,
         hall=hall,
-        counts=dict(counts) if counts is not None else None,
+        tasks_per_worker=dict(tasks_per_worker)
+        if tasks_per_worker is not None
+        else None,
     )
     for task in tasks:
-        expected = best_by_scan(spec, task, workers, counts, hall)
+        expected = best_by_scan(spec, task, workers, tasks_per_worker, hall)
         assert ranking.best_for(task) is expected
         if expected is None:
             continue
         give(task, expected)
-        ranking.on_given()
-        if counts is not None:
-            counts[expected.worker_id] = counts.get(expected.worker_id, 0) + 1
+        ranking.on_assigned()
+        if tasks_per_worker is not None:
+            tasks_per_worker[expected.worker_id] = (
+                tasks_per_worker.get(expected.worker_id, 0) + 1
+            )
--- a/packages/thymefork-cells/src/thymefork_cells/state/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/__init__.py
@@ -3,13 +3,13 @@
 from .account_usage import AccountUsage
 from .advice_slots import LONG_CALL_MS, AdviceSlots
 from .job import Job, JobState
-from .loss import EARLY_LOSS_MS, WorkerLoss, have_similar_timing
 from .run import Run, RunState
 from .step_state import StepState, Ticket
 from .task import Task
 from .trial import Trial
 from .worker import Worker
 from .worker_health import WorkerHealth
+from .worker_loss import EARLY_LOSS_MS, WorkerLoss, have_similar_timing
 
 __all__ = [
     "EARLY_LOSS_MS",
--- a/packages/thymefork-cells/src/thymefork_cells/state/run.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/run.py
@@ -4,7 +4,7 @@
 
 from attrs import define, field
 
-from .loss import EARLY_LOSS_MS
+from .worker_loss import EARLY_LOSS_MS
 
 __all__ = ["Run", "RunState"]
 
@@ -124,7 +124,7 @@
     def was_absent(self):
         """Tell whether its worker, asked after its start was sent, did not have it."""
         was_seen = self.listed_ms > 0 or self.confirmed_clock_ms > 0
-        return not was_seen and 0 < self.began_ms <= self.worker.asked_ms
+        return not was_seen and 0 < self.began_ms <= self.worker.answered_poll_ms
 
     def may_have_crashed(self, now_ms):
         """Tell whether its worker fell silent soon after its start."""
@@ -144,7 +144,7 @@
         return self.state is RunState.LIVE
 
     @property
-    def is_wanted(self):
+    def may_continue(self):
         """Tell whether it may go on, as far as is known."""
         return self.is_active or self.state is RunState.RECOVERED
 
--- a/packages/thymefork-cells/src/thymefork_cells/state/task.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/task.py
@@ -2,7 +2,7 @@
 
 from attrs import define, field
 
-from .loss import have_similar_timing
+from .worker_loss import have_similar_timing
 
 __all__ = ["Task"]
 
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -22,9 +22,9 @@
 
     Units: `*_ms` on the steady clock; `clock_offset_ms` added to the steady clock
     gives the worker's clock. `may_run_until_ms` bounds what this owner has allowed
-    to run, `inherited_until_ms` what its predecessor had. `is_known` turns true once
+    to run, `inherited_until_ms` what its predecessor had. `has_reported` turns true once
     the worker has listed what runs on it under the present owner's fence; before that,
-    nothing is placed on it. `asked_ms` is when the latest answered look was sent: the
+    nothing is placed on it. `answered_poll_ms` is when the latest answered look was sent: the
     answer may be read much later, by a process that was paused. `unanswered_since_ms` is when the
     first of the last looks without an answer was given up, 0 if the last was answered;
     `unlisted_since_ms` is when the platform's list had it no more, `leases_expired_ms` when its
@@ -49,7 +49,7 @@
     runs: dict = field(factory=dict)
     orphaned_runs: set = field(factory=set)
     stopped: set = field(factory=set)
-    is_known: bool = False
+    has_reported: bool = False
     is_listed: bool = True
     leaves_at_ms: float = 0.0
     clock_offset_ms: float | None = None
@@ -57,7 +57,7 @@
     may_run_until_ms: float = 0.0
     inherited_until_ms: float = 0.0
     last_answer_ms: float = 0.0
-    asked_ms: float = 0.0
+    answered_poll_ms: float = 0.0
     poll_sent_ms: float = 0.0
     quick_poll_sent_ms: float = 0.0
     stop_answered_ms: float = 0.0
--- a/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
@@ -6,7 +6,7 @@
 from thymefork_cells.specs import AccountPolicy, ResourceLimit
 
 from .harness import Harness
-from .idle_owners import LINK_MS
+from .idle_cell_owners import LINK_MS
 
 __all__ = ["CellGroup"]
 
@@ -18,19 +18,19 @@
     none for one that is lost. `is_cut(one, other)` tells whether two cells' owners hear
     each other. A limit that was replaced may be in force for `applied_ms` still.
     `most_cpu_milli` is the most that the workers of all cells ran of the account at
-    once, and `breaches` the moments at which that was over every limit in force.
+    once, and `violations` the moments at which that was over every limit in force.
     """
 
     def __init__(self, *, cells, limit_cpu_milli, workers=4, cpu_milli=32_000):
         self.env = simpy.Environment()
-        self.befalls = lambda message: [LINK_MS]
-        self.is_cut = lambda one, other: False
+        self.delivery_delays = lambda message: [LINK_MS]
+        self.is_link_down = lambda one, other: False
         self._replaced = []
         self.applied_ms = 50.0
-        self.breaches = []
+        self.violations = []
         self.most_cpu_milli = 0
-        self.still = {}
-        self.longest_still_ms = 0.0
+        self.stalled_since = {}
+        self.longest_stall_ms = 0.0
         self.messages = 0
         self.cells = [
             Harness(
@@ -91,13 +91,13 @@
     def send(self, message):
         """Carry a message, as often as it comes."""
         self.messages += 1
-        for after_ms in self.befalls(message):
+        for after_ms in self.delivery_delays(message):
             self.env.process(self._carry(message, after_ms))
 
     def _carry(self, message, after_ms):
         yield self.env.timeout(after_ms)
         harness = self.cells[message.to_cell]
-        if not harness.dead and not self.is_cut(message.borrower, message.lender):
+        if not harness.dead and not self.is_link_down(message.borrower, message.lender):
             harness.cell.on_parts(message, now_ms=self.now)
 
     # The rules -----------------------------------------------------------------
@@ -108,7 +108,7 @@
         while True:
             running = self.cpu_running()
             if running > most_before and running > self._highest_limit():
-                self.breaches.append((self.now, running))
+                self.violations.append((self.now, running))
             most_before = running
             self.most_cpu_milli = max(self.most_cpu_milli, running)
             if self.now % 50 == 0:
@@ -133,10 +133,10 @@
                 continue
             for job in harness.cell.context.live_jobs.values():
                 if job.runs or not holds_little:
-                    self.still.pop(job.job_id, None)
+                    self.stalled_since.pop(job.job_id, None)
                     continue
-                since_ms = self.still.setdefault(job.job_id, self.now)
-                self.longest_still_ms = max(self.longest_still_ms, self.now - since_ms)
+                since_ms = self.stalled_since.setdefault(job.job_id, self.now)
+                self.longest_stall_ms = max(self.longest_stall_ms, self.now - since_ms)
 
 
 def _limit_of(harness):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/idle_owners.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/idle_cell_owners.py
@@ -3,7 +3,7 @@
 from thymefork_cells import Cell, effects as fx
 from thymefork_cells.specs import Bounds
 
-__all__ = ["APPEND_MS", "LINK_MS", "PARTS", "IdleOwners"]
+__all__ = ["APPEND_MS", "LINK_MS", "PARTS", "IdleCellOwners"]
 
 PARTS = (fx.RequestParts, fx.GrantParts, fx.ReportHeldParts)
 LINK_MS = 2.0
@@ -13,7 +13,7 @@
 TURN_MS = 20.0
 
 
-class IdleOwners:
+class IdleCellOwners:
     """Play cells without workers or jobs, each from the first message to it."""
 
     def __init__(self, *, harness):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_trials.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
@@ -43,7 +43,7 @@
 
 
 def reachable(harness):
-    return [worker for worker in harness.workers.values() if not worker.cut]
+    return [worker for worker in harness.workers.values() if not worker.is_unreachable]
 
 
 # Those that stood beside -------------------------------------------------------
@@ -201,11 +201,13 @@
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
     for _ in range(6):
         harness.run(1_000)
-        cut = next(worker for worker in harness.workers.values() if worker.running)
-        cut.cut = True
+        is_unreachable = next(
+            worker for worker in harness.workers.values() if worker.running
+        )
+        is_unreachable.is_unreachable = True
         harness.run(3_600)
         assert [len(found) for found in losses(harness)] == [1]
-        cut.cut = False
+        is_unreachable.is_unreachable = False
         harness.run(600)
         assert not losses(harness)
     assert harness.job(INNOCENT).visible_state is JobState.RUNNING
@@ -221,9 +223,9 @@
         others = [
             entry for entry in harness.entries if entry.worker_id != leaves.worker_id
         ]
-        harness.list_workers(others)
+        harness.load_worker_list(others)
         harness.run(800)
-        leaves.cut = True
+        leaves.is_unreachable = True
         harness.run(4_200)
         assert len(harness.starts_of(f"{INNOCENT}.0.0.0")) > 1
         assert not losses(harness)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
@@ -17,7 +17,7 @@
 )
 
 from .harness import job_spec
-from .run_rules import twice_run
+from .run_invariants import tasks_run_twice
 
 JOB = "00000000000000aa"
 NEXT_JOB = "00000000000000bb"
@@ -36,7 +36,7 @@
     fence = followed.fence(harness.epoch)
     deadline_clock_ms = followed.clock_ms(harness.now) + 3_000.0
     harness.restart(worker, away_ms=50.0)
-    while worker.cut:
+    while worker.is_unreachable:
         harness.run(1)
     worker.look(fence, 0, deadline_clock_ms, harness.now)
     assert worker.lease_until_ms > harness.now + 5_000.0
@@ -60,14 +60,14 @@
     harness.submit(NEXT_JOB, job_spec(ONE_EACH))
     while not worker.running:
         harness.run(1)
-    harness.cut_off(worker, for_ms=20_000.0)
+    harness.disconnect_worker(worker, for_ms=20_000.0)
     for _ in range(owners):
         replace_owner(harness)
         harness.run(1_000)
     harness.run(worker.lease_until_ms - harness.now - 100.0)
     assert harness.runs_of("w0")
     harness.run(60_000)
-    assert not twice_run(harness)
+    assert not tasks_run_twice(harness)
     assert harness.job(NEXT_JOB).visible_state is JobState.SUCCEEDED
 
 
@@ -85,9 +85,9 @@
 def test_it_is_stored_once_more_where_the_store_turned_it_away(make_harness):
     harness = make_harness(workers=1)
     restart_under_a_late_lease(harness)
-    harness.take_store_away(400.0)
+    harness.run_store_outage(400.0)
     assert RECORD not in harness.store
-    harness.list_workers(harness.entries)
+    harness.load_worker_list(harness.entries)
     harness.run(600)
     assert RECORD in harness.store
 
@@ -130,7 +130,7 @@
     harness.run(MAX_COMMAND_DELAY_MS)
     followed = harness.cell.context.workers["w0"]
     followed.lease_sent_ms = harness.now - leased_ms_ago
-    followed.asked_ms = harness.now
+    followed.answered_poll_ms = harness.now
     (worker,) = harness.workers.values()
     harness.restart(worker, away_ms=50.0)
     harness.run(400)
@@ -149,4 +149,4 @@
     harness.run(1_000)
     assert RECORD in harness.store
     assert harness.job(NEXT_JOB).visible_state is JobState.SUCCEEDED
-    assert not twice_run(harness)
+    assert not tasks_run_twice(harness)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
@@ -94,13 +94,15 @@
     assert not harness.cell.context.pending_stops
 
 
-@pytest.mark.parametrize("append_ms", [10.0, SLOW_APPEND_MS])
-def test_room_of_a_cancelled_job_is_free_soon(make_harness, monkeypatch, append_ms):
-    monkeypatch.setattr(harness_module, "APPEND_MS", append_ms)
+@pytest.mark.parametrize("append_latency_ms", [10.0, SLOW_APPEND_MS])
+def test_room_of_a_cancelled_job_is_free_soon(
+    make_harness, monkeypatch, append_latency_ms
+):
+    monkeypatch.setattr(harness_module, "APPEND_MS", append_latency_ms)
     harness = make_harness(workers=1)
     harness.workers["w0"].work_ms = 60_000.0
     harness.submit(LEAVES, job_spec({"count": 4, "cpu_milli": 2_000}))
-    harness.run(3 * append_ms + 50)
+    harness.run(3 * append_latency_ms + 50)
     assert len(harness.running()) == 4
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(FREED_MS)
@@ -168,14 +170,14 @@
     workers = [w for w in harness.workers.values() if w.running]
     assert len(workers) == 2 and all(len(w.running) == 4 for w in workers)
     harness.run(1_000)
-    harness.lose = lambda effect: isinstance(effect, fx.StopRun)
+    harness.is_command_lost = lambda effect: isinstance(effect, fx.StopRun)
     urgent = id_of(3)
     harness.submit(
         urgent, job_spec({"count": 4, "cpu_milli": 2_000, "estimated_ms": 800})
     )
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(300)
-    harness.lose = lambda effect: False
+    harness.is_command_lost = lambda effect: False
     harness.run(600)
     assert harness.counts["made_way"] == 0
     assert len(harness.job(urgent).runs) == 4
@@ -237,11 +239,11 @@
     """The cancelling was stored; the order to stop was lost with the owner."""
     harness = make_harness(workers=2)
     start_batch(harness, LEAVES)
-    harness.drop = lambda effect: isinstance(effect, fx.StopRun)
+    harness.is_stop_dropped = lambda effect: isinstance(effect, fx.StopRun)
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(30)
     assert harness.replies["cancel"].outcome is Outcome.CANCELLED
-    harness.drop = lambda effect: False
+    harness.is_stop_dropped = lambda effect: False
     assert len(harness.running()) == 4
     harness.take_over()
     harness.run(GONE_MS)
@@ -293,13 +295,13 @@
     start_batch(harness, LEAVES)
     lost = []
 
-    def lose(effect):
+    def is_command_lost(effect):
         if not isinstance(effect, fx.StopRun) or len(lost) == 4:
             return False
         lost.append(effect)
         return True
 
-    harness.lose = lose
+    harness.is_command_lost = is_command_lost
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(GONE_MS)
     assert len(lost) == 4
@@ -311,7 +313,7 @@
     harness = make_harness(workers=2)
     start_batch(harness, LEAVES, tasks=8)
     away = harness.workers["w0"]
-    away.cut = True
+    away.is_unreachable = True
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(FREED_MS)
     assert not harness.runs_of("w1")
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_pending_counts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_pending_counts.py
@@ -28,7 +28,7 @@
 
 
 def lose_starts(harness):
-    harness.lose = lambda effect: isinstance(effect, StartRun)
+    harness.is_command_lost = lambda effect: isinstance(effect, StartRun)
 
 
 def test_jobs_whose_starts_reach_no_worker_are_counted(make_harness):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
@@ -20,8 +20,8 @@
 
 from thymefork_cells.state import JobState
 
+from .command_transport import SILENCE_MS
 from .harness import job_spec
-from .order_carrier import SILENCE_MS
 
 JOB = "00000000000000aa"
 # A job that could run stands still for less than this long once all is back.
@@ -34,7 +34,7 @@
 
 def say_that_they_leave(harness, worker_ids, leaves_in_ms):
     """Let workers write that they leave, before the store is away."""
-    harness.list_workers(
+    harness.load_worker_list(
         [
             evolve(entry, draining=True, leaves_in_ms=leaves_in_ms)
             if entry.worker_id in worker_ids
@@ -58,7 +58,7 @@
         unheard |= {task for task, _ in worker.running}
         struck |= {task.split(".")[0] for task in unheard}
         worker.running.clear()
-        worker.cut = True
+        worker.is_unreachable = True
     harness.entries = [
         entry for entry in harness.entries if entry.worker_id not in worker_ids
     ]
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_speculative_copies.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_speculative_copies.py
@@ -12,7 +12,7 @@
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500, "speculative": True}))
     harness.run(200)
     first = next(w for w in harness.workers.values() if w.running)
-    first.cut = True
+    first.is_unreachable = True
     harness.run(2_600)
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
@@ -39,6 +39,6 @@
     harness.submit(JOB, job_spec(step))
     harness.run(100)
     ((worker_id, _, _),) = harness.starts_of(f"{JOB}.0.0.0")
-    harness.workers[worker_id].cut = True
+    harness.workers[worker_id].is_unreachable = True
     harness.run(1_700)
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 2
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_stored_incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_stored_incarnations.py
@@ -5,11 +5,11 @@
 from thymefork_cells.jobs.codec import decode_progress, encode_progress
 from thymefork_cells.state import JobState, WorkerLoss
 
-from .harness import EPOCH_MS, job_spec
-from .run_rules import twice_run
+from .harness import START_EPOCH_MS, job_spec
+from .run_invariants import tasks_run_twice
 
 JOB = "00000000000000aa"
-BORN_EPOCH_MS = int(EPOCH_MS)
+BORN_EPOCH_MS = int(START_EPOCH_MS)
 
 
 def started_task(harness):
@@ -66,7 +66,7 @@
     assert len(harness.running()) == 4
     harness.run(4_000)
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
-    assert not twice_run(harness)
+    assert not tasks_run_twice(harness)
 
 
 def test_progress_without_losses_has_the_form_that_others_read(harness):
--- a/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
@@ -154,7 +154,7 @@
         worker, step = run.worker, run.task.step
         self._context.count("retries", f"start_{refusal}")
         if refusal is Refusal.NO_ROOM:
-            worker.is_known = False
+            worker.has_reported = False
             self._looks.request_poll(worker, now_ms)
         elif refusal is Refusal.NO_TICKET:
             step.tickets.pop(worker.worker_id, None)
--- a/packages/thymefork-cells/src/thymefork_cells/workers/extended_leases.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/extended_leases.py
@@ -68,7 +68,7 @@
 
     def on_answer(self, worker, now_ms):
         """Count from a life's first answer on: it refuses orders of before from now."""
-        if worker.asked_ms:
+        if worker.answered_poll_ms:
             return
         was_earlier = any(run.is_of_earlier_incarnation for run in worker.runs.values())
         if worker.extended_lease_until_ms or was_earlier:
--- a/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
@@ -52,7 +52,7 @@
 
     def match(self, worker, born_epoch_ms):
         """Tell whether the life that began at a moment is the one that is followed."""
-        if not worker.born_epoch_ms and not worker.asked_ms:
+        if not worker.born_epoch_ms and not worker.answered_poll_ms:
             worker.born_epoch_ms = born_epoch_ms  # the first word of it
             worker.number = self.number(worker.worker_id, born_epoch_ms)
         if born_epoch_ms == worker.born_epoch_ms:
--- a/packages/thymefork-cells/src/thymefork_cells/workers/quorum.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/quorum.py
@@ -45,7 +45,8 @@
         """
         workers = self._context.workers.values()
         heard = sum(
-            worker.asked_ms > now_ms - QUORUM_ANSWER_MAX_AGE_MS for worker in workers
+            worker.answered_poll_ms > now_ms - QUORUM_ANSWER_MAX_AGE_MS
+            for worker in workers
         )
         return heard > 0 and heard >= SHARE * len(workers)
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
@@ -122,13 +122,13 @@
         bound_ms = IN_VAIN_FACTOR * self._context.bounds.stop_timeout_ms
         return clock_ms > run.stop_clock_ms + bound_ms
 
-    def release_missing(self, worker, report, asked_ms, now_ms):
+    def release_missing(self, worker, report, answered_poll_ms, now_ms):
         """Release the runs that the worker neither runs nor will ever run."""
         gone_with_life = []
         for run in list(worker.runs.values()):
             if run.listed_ms == now_ms:
                 continue
-            if run.is_suspect and run.suspected_ms <= asked_ms:
+            if run.is_suspect and run.suspected_ms <= answered_poll_ms:
                 self._lifecycle.stop(run, UNANSWERED_START_REASON, now_ms=now_ms)
             elif run.is_of_earlier_incarnation and run.state is RunState.RECOVERED:
                 gone_with_life.append(run)
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
@@ -119,7 +119,7 @@
         return max(worker.poll_due_ms, worker.poll_sent_ms + self._wait_ms())
 
     def _is_needed(self, worker):
-        if not worker.is_known or worker.runs or worker.orphaned_runs:
+        if not worker.has_reported or worker.runs or worker.orphaned_runs:
             return True
         if (
             worker.suspected_ms > worker.last_answer_ms
@@ -157,7 +157,7 @@
         return now_ms - worker.quick_poll_sent_ms >= SETTLE_BESIDE_MS
 
     def _look(self, worker, now_ms):
-        waits = worker.runs and worker.is_known and not worker.orphaned_runs
+        waits = worker.runs and worker.has_reported and not worker.orphaned_runs
         waits = waits and not worker.stopped and not worker.storing_ends
         waits = waits and worker.suspected_ms <= worker.last_answer_ms
         waits = waits and not worker.misses_in_row
@@ -181,7 +181,7 @@
         """
         if worker.clock_offset_ms is None or worker.misses_in_row:
             return False
-        return any(run.is_wanted for run in worker.runs.values())
+        return any(run.may_continue for run in worker.runs.values())
 
     def _wait_ms(self):
         return QUORUM_WAIT_MS if self._context.is_store_unavailable else LOOK_WAIT_MS
@@ -225,11 +225,11 @@
         self._losses.on_answer(worker, now_ms=now_ms)
         if quick:
             worker.is_quick_polling = False
-            asked_ms = worker.quick_poll_sent_ms
+            answered_poll_ms = worker.quick_poll_sent_ms
         else:
             worker.is_polling = False
-            asked_ms = worker.poll_sent_ms
-        worker.asked_ms = max(worker.asked_ms, asked_ms)
+            answered_poll_ms = worker.poll_sent_ms
+        worker.answered_poll_ms = max(worker.answered_poll_ms, answered_poll_ms)
         worker.misses_in_row = 0
         worker.unanswered_since_ms = 0.0
         worker.last_answer_ms = now_ms
@@ -242,9 +242,9 @@
             worker.outdated_reports_in_row = 0
             worker.last_clock_ms = report.clock_ms
             self._listings.apply_running(worker, report, now_ms)
-            self._listings.release_missing(worker, report, asked_ms, now_ms)
-        if not worker.is_known:
-            worker.is_known = not worker.orphaned_runs
+            self._listings.release_missing(worker, report, answered_poll_ms, now_ms)
+        if not worker.has_reported:
+            worker.has_reported = not worker.orphaned_runs
             self._context.needs_plan = True
         worker.poll_due_ms = now_ms
         if had_ends:
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -180,7 +180,7 @@
         for run in runs:
             run.task.given_up.add(run.run_id)
         self._losses.on_worker_lost(worker, runs, is_certain=False, now_ms=now_ms)
-        worker.is_known = False
+        worker.has_reported = False
         worker.leases_expired_ms = now_ms
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/learned_speeds.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/learned_speeds.py
@@ -2,14 +2,14 @@
 
 from attrs import frozen
 
-from thymefork_cells import TELL_AGAIN_MS, LearnedSpeed
+from thymefork_cells import REANNOUNCE_MS, LearnedSpeed
 from thymefork_net import steady_ms
 from thymefork_net.peers import MachineSpeed, SpeedsLearned
 
 __all__ = ["LearnedSpeeds"]
 
 # What still holds is told again meanwhile; one telling may be missed.
-KEPT_MS = 3.0 * TELL_AGAIN_MS
+KEPT_MS = 3.0 * REANNOUNCE_MS
 # Some 20 bytes each on a link, a few times that in memory.
 MOST_KEPT = 4_000
 # Far beyond what sound machines differ by; a peer's figure is bounded by it.
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
@@ -38,7 +38,7 @@
             fence=worker.fence(self._owner.epoch),
             deadline_clock_ms=worker.clock_ms(now_ms) + LEASE_MS,
             ticket=step.ticket_for(worker.worker_id, now_ms) or "",
-            wanted=lambda: run.is_wanted and self._owner.may_order(),
+            wanted=lambda: run.may_continue and self._owner.may_order(),
             done=lambda answer: self._on_start(run, worker, answer, now_ms),
         )
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
@@ -5,7 +5,7 @@
 import pytest
 
 from thymefork_cells import LearnedSpeed
-from thymefork_cells.estimates import ImageTimes, SpeedLearner, WorkerSpeeds
+from thymefork_cells.estimates import ImageDurations, SpeedLearner, WorkerSpeeds
 from thymefork_daemon import learned_speeds as module
 from thymefork_daemon.learned_speeds import KEPT_MS, LearnedSpeeds
 from thymefork_net.peers import Heartbeat, MachineSpeed, OwnedCell, SpeedsLearned
@@ -85,7 +85,7 @@
             emit=lambda effect: self._told.append(effect.speeds),
         )
         self.learner = SpeedLearner(
-            context=context, images=ImageTimes(), speeds=WorkerSpeeds()
+            context=context, durations=ImageDurations(), speeds=WorkerSpeeds()
         )
         rows = [speed(n, 0.36 if i % 3 else -0.72) for i, n in enumerate(names)]
         self.learner.inherit(rows, now_ms=clock.ms)
