--- a/packages/thymefork-daemon/src/thymefork_daemon/heard_end_buffer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/heard_end_buffer.py
@@ -65,7 +65,7 @@
         if owner is not None and owner.epoch > message.epoch:
             owner.take_heard_ends(ends)
 
-    def before(self, cell, epoch):
+    def ends_before(self, cell, epoch):
         """Return the ends of a cell that owners before an epoch have heard."""
         self._forget_old(cell)
         kept = self._kept.get(cell, {}).values()
@@ -76,7 +76,7 @@
         if cell not in self._kept or self._handed_on.get(cell, -1) >= epoch:
             return
         self._handed_on[cell] = epoch
-        ends = self.before(cell, epoch)
+        ends = self.ends_before(cell, epoch)
         if ends:
             latest = max(row.epoch for row in self._kept[cell].values())
             _send(link, cell, min(latest, epoch - 1), ends)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -213,7 +213,7 @@
             load_watch=self._daemon.owner_load,
         )
         cell.registry.update(self._daemon.worker_list.entries.values(), now_ms=now_ms)
-        heard = self._daemon.heard_ends.before(self.cell_index, self.epoch)
+        heard = self._daemon.heard_ends.ends_before(self.cell_index, self.epoch)
         cell.inherited_ends.apply(heard, now_ms=now_ms)
         speeds = self._daemon.learned_speeds.of(self.cell_index)
         cell.speed_learner.inherit(speeds, now_ms=now_ms)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/fakes.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/fakes.py
@@ -61,13 +61,13 @@
 
     def __init__(self):
         self.failures = 0
-        self.told = []
+        self.notifications = []
 
     def __call__(self, *news):
         if not self.failures:
             self.failures += 1
             raise RuntimeError("a listener failed")
-        self.told += news or [None]
+        self.notifications += news or [None]
 
 
 class FakeStore:
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_change_notifier.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_change_notifier.py
@@ -8,9 +8,9 @@
 
 
 def test_nothing_is_told_without_a_change():
-    told = []
-    ChangeNotifier(listener=told.append).notify("news")
-    assert not told
+    notifications = []
+    ChangeNotifier(listener=notifications.append).notify("news")
+    assert not notifications
 
 
 def test_a_listener_that_failed_is_told_once_more():
@@ -21,19 +21,19 @@
         news.notify("news")
     for _ in range(2):
         news.notify("later news")
-    assert listener.told == ["later news"]
+    assert listener.notifications == ["later news"]
 
 
 def test_a_change_that_the_listener_causes_is_told_too():
-    told = []
+    notifications = []
 
     def listener(news):
-        told.append(news)
-        if len(told) == 1:
+        notifications.append(news)
+        if len(notifications) == 1:
             owed.mark_changed()
 
     owed = ChangeNotifier(listener=listener)
     owed.mark_changed()
     for news in ("first", "second", "third"):
         owed.notify(news)
-    assert told == ["first", "second"]
+    assert notifications == ["first", "second"]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_heard_end_buffer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_heard_end_buffer.py
@@ -80,8 +80,8 @@
 def test_a_member_that_takes_the_cell_over_has_what_it_was_told(daemon, timers):
     heard = HeardEndBuffer(daemon=daemon)
     heard.on_message(told([end(1)], epoch=3))
-    assert heard.before(CELL, 4) == [end(1)]
-    assert heard.before(CELL, 3) == []
+    assert heard.ends_before(CELL, 4) == [end(1)]
+    assert heard.ends_before(CELL, 3) == []
 
 
 def test_an_owner_takes_what_its_predecessor_tells_late(daemon, timers):
@@ -138,7 +138,7 @@
     heard = HeardEndBuffer(daemon=daemon)
     heard.on_message(told([end(1)], epoch=3))
     timers.run(RETENTION_MS + 1)
-    assert heard.before(CELL, 4) == []
+    assert heard.ends_before(CELL, 4) == []
 
 
 def test_what_is_kept_is_bounded_and_what_is_dropped_counted(
@@ -147,7 +147,7 @@
     monkeypatch.setattr(heard_ends_module, "MOST_KEPT", 2)
     heard = HeardEndBuffer(daemon=daemon)
     heard.tell(CELL, 3, [end(number) for number in range(5)])
-    assert len(heard.before(CELL, 4)) == 2
+    assert len(heard.ends_before(CELL, 4)) == 2
     assert daemon.metrics.counts.count(("heard_ends", "dropped")) == 3
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_worker_list_watch.py
@@ -102,10 +102,10 @@
         reader.answer(result)
     timers.run(500)
     reader.answer(ReadResult(records=(), next_offset=1))
-    assert set(watch.entries) == {"a"} and len(listener.told) == 1
+    assert set(watch.entries) == {"a"} and len(listener.notifications) == 1
     timers.run(500)
     reader.answer(ReadResult(records=(), next_offset=1))
-    assert len(listener.told) == 1
+    assert len(listener.notifications) == 1
     timers.run(500)
     assert len(reader.calls) == 1
 
