--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -1,4 +1,4 @@
-"""Messages of other instances, handed on to whom they are for."""
+"""Dispatching of peers' messages, and the links kept to peers."""
 
 from types import SimpleNamespace
 
@@ -6,7 +6,7 @@
 
 from thymefork_daemon import (
     owner_watch as owner_watch_module,
-    peer_dispatcher as peer_desk_module,
+    peer_dispatcher as peer_dispatcher_module,
 )
 from thymefork_daemon.peer_dispatcher import PeerDispatcher
 from thymefork_net import Address
@@ -20,11 +20,11 @@
 
 from .fakes import FakeMetrics, capacity_attributes
 
-CLOCK_MODULES = (owner_watch_module, peer_desk_module)
+CLOCK_MODULES = (owner_watch_module, peer_dispatcher_module)
 
 
 class FakeOwner:
-    """Take the answers to its own calls, as an owner of a cell does."""
+    """Accept only answers to its own calls."""
 
     def __init__(self, *, asked):
         self._asked = asked
@@ -47,22 +47,22 @@
     return AdviceReply(call_id=call_id, answered=True, tickets=[], valid_ms=2_000)
 
 
-def test_an_answer_that_no_owner_waits_for_is_counted_once(daemon):
-    """From a review: such answers were dropped, or taken by others, unseen."""
-    desk = PeerDispatcher(daemon=daemon)
-    desk.on_message(None, reply(9))
+def test_unawaited_answer_is_counted_once(daemon):
+    """Guards against answers dropped silently or handled by another owner."""
+    dispatcher = PeerDispatcher(daemon=daemon)
+    dispatcher.on_message(None, reply(9))
     assert daemon.metrics.counts == [("odd_answers", "advice_not_awaited")]
 
 
-def test_an_answer_reaches_the_owner_that_asked(daemon):
-    desk = PeerDispatcher(daemon=daemon)
-    desk.on_message(None, reply(8))
+def test_answer_reaches_the_owner_that_asked(daemon):
+    dispatcher = PeerDispatcher(daemon=daemon)
+    dispatcher.on_message(None, reply(8))
     assert (daemon.owners[0].taken, daemon.owners[1].taken) == ([], [8])
     assert not daemon.metrics.counts
 
 
-def test_all_owners_hear_of_links_though_one_is_lost_by_it(daemon):
-    """As with answers: what follows from a broken link may lose a cell."""
+def test_all_owners_are_notified_of_links_though_cells_are_lost(daemon):
+    """Handling a broken link may lose a cell."""
     told = []
     for cell in (0, 1, 2):
         daemon.owners[cell] = SimpleNamespace(
@@ -73,7 +73,7 @@
 
 
 def make_daemon(timers, *, in_group, opened, asked=None):
-    """Return a daemon that notes the links it opens and the silence it asks about."""
+    """Return a daemon that records opened links and the silence checked for."""
     asked = [] if asked is None else asked
     own = Address(host="10.0.0.1", port=7000)
     owner = Address(host="10.0.0.2", port=7000)
@@ -97,10 +97,10 @@
     )
 
 
-def test_an_instance_outside_the_group_keeps_links_to_owners_alone(timers):
-    """From the sweep at 300 instances: each large one heard from 20 small ones more.
+def test_instance_outside_the_group_keeps_links_to_owners_only(timers):
+    """Guards against heartbeats from many instances that cannot own cells.
 
-    Who is no member judges no owner, so it has no use for the others' word.
+    An instance outside the group evicts nobody, so it needs no others' heartbeats.
     """
     opened = []
     daemon = make_daemon(timers, in_group=False, opened=opened)
@@ -113,38 +113,38 @@
         self.listener_address = address
 
 
-def beat_of(desk, address, **fields):
+def receive_heartbeat(dispatcher, address, **fields):
     message = Heartbeat(
         owned=[OwnedCell(cell=0, epoch=1)], config_version=1, in_group=True, **fields
     )
-    desk.on_message(FakeLink(address), message)
+    dispatcher.on_message(FakeLink(address), message)
 
 
-def test_an_owner_that_stops_is_known_to_leave_and_hurries_nobody(timers):
-    """It keeps its cells for now, and a join of every member at each beat is dear."""
+def test_stopping_owner_is_leaving_and_triggers_no_join(timers):
+    """It keeps its cells for now; joining at each of its heartbeats is too costly."""
     daemon = make_daemon(timers, in_group=True, opened=[])
-    hurried = []
-    daemon.membership.join_now = lambda: hurried.append(1)
+    join_times_ms = []
+    daemon.membership.join_now = lambda: join_times_ms.append(1)
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
     daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
-    desk = daemon.peers = PeerDispatcher(daemon=daemon)
+    dispatcher = daemon.peers = PeerDispatcher(daemon=daemon)
     owner = daemon.directory.owner_of(0)
-    beat_of(desk, owner, leaving=True, store_lost=True)
-    assert desk.is_leaving(owner) and not hurried
-    beat_of(desk, owner, leaving=False, store_lost=False)
-    assert not desk.is_leaving(owner)
+    receive_heartbeat(dispatcher, owner, leaving=True, store_lost=True)
+    assert dispatcher.is_leaving(owner) and not join_times_ms
+    receive_heartbeat(dispatcher, owner, leaving=False, store_lost=False)
+    assert not dispatcher.is_leaving(owner)
 
 
-def test_an_instance_outside_the_group_watches_no_owner(timers):
+def test_instance_outside_the_group_watches_no_owner(timers):
     asked = []
     PeerDispatcher(daemon=make_daemon(timers, in_group=False, opened=[], asked=asked))
     timers.run(1_000)
     assert not asked
 
 
-def test_an_instance_watches_owners_once_it_is_a_member(timers):
+def test_instance_watches_owners_once_it_is_a_member(timers):
     asked = []
     daemon = make_daemon(timers, in_group=False, opened=[], asked=asked)
     PeerDispatcher(daemon=daemon)
@@ -154,7 +154,7 @@
 
 
 class AdviceQueue:
-    """Take calls for the service, and make them when the test says so."""
+    """Queue calls to the service until the test makes them."""
 
     def __init__(self):
         self.calls = []
@@ -163,7 +163,7 @@
         self.calls.append((step_name, wanted, done))
 
     def made(self):
-        """Return the steps whose calls leave; the others fail unsent."""
+        """Return the steps whose calls are made; withdrawn ones fail unsent."""
         made = []
         for step, wanted, done in self.calls:
             if wanted():
@@ -172,7 +172,7 @@
         return made
 
 
-class TalkingLink(FakeLink):
+class RecordingLink(FakeLink):
     def __init__(self, address):
         super().__init__(address)
         self.sent = []
@@ -181,7 +181,7 @@
         self.sent.append(message)
 
 
-def make_adviser(timers):
+def make_advising_daemon(timers):
     daemon = make_daemon(timers, in_group=True, opened=[])
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
@@ -191,8 +191,8 @@
     return daemon
 
 
-def ask_advice(desk, link, call_id):
-    desk.on_message(
+def ask_advice(dispatcher, link, call_id):
+    dispatcher.on_message(
         link,
         AdviceRequest(
             call_id=call_id, step=f"s{call_id}", workers=["w"], patience_ms=500
@@ -200,35 +200,35 @@
     )
 
 
-def test_a_call_that_waits_here_is_not_made_once_its_owner_has_withdrawn_it(timers):
-    daemon = make_adviser(timers)
-    desk, owner = daemon.peers, daemon.directory.owner_of(0)
-    link, other = TalkingLink(owner), TalkingLink(owner)
+def test_withdrawn_advice_call_is_not_made(timers):
+    daemon = make_advising_daemon(timers)
+    dispatcher, owner = daemon.peers, daemon.directory.owner_of(0)
+    link, other = RecordingLink(owner), RecordingLink(owner)
     for call_id in (1, 2):
-        ask_advice(desk, link, call_id)
-    ask_advice(desk, other, 3)
+        ask_advice(dispatcher, link, call_id)
+    ask_advice(dispatcher, other, 3)
     message = Heartbeat(
         owned=[], config_version=1, in_group=True, withdrawn_calls=[1, 3, 9]
     )
-    desk.on_message(link, message)  # numbers of others' calls are theirs to withdraw
+    dispatcher.on_message(link, message)  # other peers' calls are not affected
     assert daemon.advice.made() == ["s2", "s3"]
     assert [reply.answered for reply in link.sent] == [False, True]
-    assert not desk._asked_calls
+    assert not dispatcher._open_advice_calls
 
 
 @pytest.mark.parametrize("cells", [1, 3])
-def test_only_where_calls_of_several_owners_meet_they_are_withdrawn(timers, cells):
-    daemon = make_adviser(timers)
+def test_advice_is_withdrawn_only_with_several_cells(timers, cells):
+    daemon = make_advising_daemon(timers)
     daemon.layout.cells = cells
     daemon.membership.round_trip_ms = 3.0
-    link = TalkingLink(daemon.directory.owner_of(0))
+    link = RecordingLink(daemon.directory.owner_of(0))
     daemon.peers.withdraw_advice(link, [5])
     told = [message.withdrawn_calls for message in link.sent]
     assert told == ([[5]] if cells > 1 else [])
 
 
-def test_a_member_that_comes_is_told_what_it_has_missed_once(timers):
-    """News is told once in a while; who owns the cell next may have come since."""
+def test_new_member_gets_all_learned_speeds_once(timers):
+    """Speeds are announced rarely, and the member may become the next owner."""
     daemon = make_daemon(timers, in_group=False, opened=[])
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
@@ -237,49 +237,49 @@
     daemon.learned_speeds = SimpleNamespace(
         take_untold=lambda: None, of_owners=lambda: ["all"]
     )
-    desk = PeerDispatcher(daemon=daemon)
+    dispatcher = PeerDispatcher(daemon=daemon)
     daemon.owners = {0: SimpleNamespace(epoch=1, is_serving=True)}
-    link = TalkingLink(Address(host="10.0.0.3", port=7000))
+    link = RecordingLink(Address(host="10.0.0.3", port=7000))
     message = Heartbeat(owned=[], config_version=1, leaving=False, in_group=True)
     for _ in range(3):
-        desk.on_message(link, message)
+        dispatcher.on_message(link, message)
         timers.run(300)
-    told = [beat.speeds for beat in link.sent]
+    told = [heartbeat.speeds for heartbeat in link.sent]
     assert told[0] == ["all"]
     assert len(told) > 3 and not any(told[1:])
 
 
 @pytest.mark.parametrize("in_group_after, hurries", [(False, 2), (True, 1)])
-def test_members_join_again_after_the_leave_of_who_gave_a_cell_up(
+def test_members_join_again_after_a_releasing_peer_has_left(
     timers, in_group_after, hurries
 ):
-    """A heartbeat between the decision to leave and the store's answer tells of it.
+    """The cell is assigned only after the store has executed the peer's leave.
 
-    The join that follows the first comes too soon, so the one after the leave counts.
-    Who merely was dealt away a cell stays in the group, and one join is enough.
+    A heartbeat may arrive before that, so members join once more on the next one. A
+    peer that merely lost a cell stays in the group, and one join is enough.
     """
     daemon = make_daemon(timers, in_group=True, opened=[])
-    hurried = []
-    daemon.membership.join_now = lambda: hurried.append(timers.now_ms)
+    join_times_ms = []
+    daemon.membership.join_now = lambda: join_times_ms.append(timers.now_ms)
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
     daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
-    desk = PeerDispatcher(daemon=daemon)
+    dispatcher = PeerDispatcher(daemon=daemon)
     link = FakeLink(daemon.directory.owner_of(0))
 
-    def beat(*cells, in_group):
+    def heartbeat(*cells, in_group):
         owned = [OwnedCell(cell=cell, epoch=1) for cell in cells]
         message = Heartbeat(owned=owned, config_version=1, in_group=in_group)
-        desk.on_message(link, message)
+        dispatcher.on_message(link, message)
 
-    beat(0, in_group=True)
-    beat(in_group=in_group_after)
+    heartbeat(0, in_group=True)
+    heartbeat(in_group=in_group_after)
     timers.run(50)
     left_ms = timers.now_ms
-    beat(in_group=in_group_after)
-    assert len(hurried) == hurries
-    assert (hurried[-1] >= left_ms) is not in_group_after
+    heartbeat(in_group=in_group_after)
+    assert len(join_times_ms) == hurries
+    assert (join_times_ms[-1] >= left_ms) is not in_group_after
     timers.run(1_000)
-    beat(in_group=in_group_after)
-    assert len(hurried) == hurries
+    heartbeat(in_group=in_group_after)
+    assert len(join_times_ms) == hurries
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""Which instances welcome callers, and which send them elsewhere at once."""
+"""Readiness of instances, and when isolated ones send callers elsewhere."""
 
 from types import SimpleNamespace
 
@@ -28,12 +28,12 @@
     return daemon
 
 
-def test_an_instance_that_hears_all_owners_is_ready(daemon):
+def test_instance_that_hears_all_owners_is_ready(daemon):
     assert Readiness(daemon=daemon).check()
 
 
-def test_an_instance_that_reaches_neither_owner_nor_store_is_cut_off(daemon, timers):
-    """From cab-bogota-grown, trouble-1: callers of a cut hall came back to it."""
+def test_instance_without_owners_and_store_is_isolated(daemon, timers):
+    """Guards against callers that return to an isolated hall."""
     readiness = Readiness(daemon=daemon)
     daemon.hears = daemon.can_read_store = False
     assert not readiness.check()
@@ -45,7 +45,7 @@
     assert readiness.check() and not readiness.is_isolated
 
 
-def test_an_instance_that_reads_the_store_waits_for_an_owner(daemon, timers):
+def test_instance_that_reads_the_store_is_not_isolated(daemon, timers):
     readiness = Readiness(daemon=daemon)
     daemon.hears = False
     readiness.check()
@@ -53,18 +53,18 @@
     assert not readiness.is_isolated
 
 
-def test_an_instance_whose_owner_has_lost_the_store_is_not_ready(daemon, timers):
-    """From wattle-tas, hunted days: a cut hall stayed in rotation with its owner."""
+def test_instance_is_not_ready_while_its_owner_lacks_the_store(daemon, timers):
+    """Guards against an isolated hall that stays in rotation with its owner."""
     readiness = Readiness(daemon=daemon)
     daemon.owner_has_store = daemon.can_read_store = False
     assert not readiness.check()
     timers.run(5_000)
-    # In an outage for all, callers that came back at once would use up their tries.
+    # In an outage for all, retrying at once would use up the callers' retries.
     assert not readiness.is_isolated
 
 
 @pytest.mark.parametrize("store_lost", [True, False])
-def test_an_owner_is_ready_while_it_has_the_store(daemon, store_lost):
+def test_owner_is_ready_only_while_it_has_the_store(daemon, store_lost):
     daemon.owners = {0: SimpleNamespace(is_serving=True)}
     daemon.membership = SimpleNamespace(store_lost=store_lost)
     assert Readiness(daemon=daemon).check() is not store_lost
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
@@ -1,9 +1,7 @@
-"""An instance that stops keeps its cells while the store is away.
+"""Shutdown of instances, also during an outage of the store.
 
-The story, from the large deployment's day scale-2: a roll stops one instance after the
-other, and the store falls silent meanwhile. An owner that was asked to stop gave its
-cells back after 0.5 s though nobody could take them: leases were not renewed any more,
-and what it had heard of ends, and could not store, went with it 5 s before it had to.
+Nobody can take over cells in an outage. An owner that released them would lose unstored
+run ends and stop renewing leases.
 """
 
 from types import SimpleNamespace
@@ -20,7 +18,7 @@
 
 
 class FakeOwner:
-    """Own a cell; an append is under way while `has_unstored` is set."""
+    """Own a cell; records are unstored while `has_unstored` is set."""
 
     def __init__(self, log):
         self.has_unstored = True
@@ -61,7 +59,7 @@
     return daemon
 
 
-def test_cells_are_given_back_once_all_is_stored(daemon, timers):
+def test_cells_are_released_once_all_is_stored(daemon, timers):
     daemon.shutdown.begin()
     timers.run(100)
     assert not daemon.owner.ended
@@ -70,14 +68,14 @@
     assert daemon.owner.ended and "left" in daemon.log
 
 
-def test_a_busy_owner_gives_its_cells_back_soon_all_the_same(daemon, timers):
+def test_busy_owner_releases_its_cells_soon(daemon, timers):
     daemon.shutdown.begin()
     timers.run(600)
     assert daemon.owner.ended and "left" in daemon.log
 
 
 @pytest.mark.parametrize("away_by", ["joins", "appends"])
-def test_an_owner_keeps_its_cells_while_the_store_is_away(daemon, timers, away_by):
+def test_owner_keeps_its_cells_while_the_store_is_unavailable(daemon, timers, away_by):
     daemon.membership.store_lost = away_by == "joins"
     daemon.owner.store_answers = away_by != "appends"
     daemon.shutdown.begin()
@@ -87,15 +85,15 @@
     daemon.membership.store_lost = False
     daemon.owner.store_answers = True
     timers.run(100)
-    assert not daemon.owner.ended  # what it heard is being stored
+    assert not daemon.owner.ended  # its records are being stored
     daemon.owner.has_unstored = False
     timers.run(100)
     assert daemon.owner.ended and "left" in daemon.log
     assert daemon.shutdown.is_complete()
 
 
-def test_an_owner_without_the_store_keeps_cells_though_nothing_waits(daemon, timers):
-    """What runs in them needs its leases renewed."""
+def test_idle_owner_without_the_store_keeps_its_cells(daemon, timers):
+    """The leases of its running tasks have to be renewed."""
     daemon.owner.has_unstored = False
     daemon.membership.store_lost = True
     daemon.shutdown.begin()
@@ -103,7 +101,7 @@
     assert not daemon.owner.ended
 
 
-def test_it_tells_what_it_heard_and_ends_before_it_is_killed(daemon, timers):
+def test_owner_announces_run_ends_before_it_is_killed(daemon, timers):
     daemon.membership.store_lost = True
     daemon.shutdown.begin()
     timers.run(GRACE_MS - 600)
@@ -112,7 +110,7 @@
     assert daemon.shutdown.is_complete()
 
 
-def test_an_instance_whose_cells_are_another_s_does_not_wait(daemon, timers):
+def test_instance_that_lost_its_cells_does_not_wait(daemon, timers):
     daemon.membership.store_lost = True
     daemon.shutdown.begin()
     timers.run(1_000)
@@ -121,7 +119,7 @@
     assert "left" in daemon.log
 
 
-def test_an_instance_without_cells_stops_at_once(monkeypatch):
+def test_instance_without_cells_leaves_at_once(monkeypatch):
     timers = FakeTimers()
     patch_clock(monkeypatch, timers, shutdown_module)
     left = []
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_standby.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_standby.py
@@ -1,7 +1,7 @@
-"""Small instances that join the group in place of members that are missing.
+"""Small instances that join the group in place of missing members.
 
-The load is a loss of all instances at once: each of them comes back within 0.3 s of the
-others, reads the same and would act at the same moment.
+After all instances were lost, they return almost together, read the same members and
+must not all join at the same moment.
 """
 
 import random
@@ -22,12 +22,12 @@
 
 
 @pytest.fixture(autouse=True, params=[1, 2, 3])
-def same_shares_every_run(request):
+def seeded_jitter(request):
     random.seed(request.param)
 
 
 class SmallInstances:
-    """Any number of small instances that read one group."""
+    """Small instances on standby that read the same group."""
 
     def __init__(self, timers, *, count, has_large):
         self.joined = []
@@ -74,8 +74,8 @@
 
 
 @pytest.mark.parametrize("count", [3, 18, 97])
-def test_where_none_is_large_a_few_small_ones_join_at_once(timers, count):
-    """From cab-bogota-large, trouble-1 at a small size: nobody joined for 4.5 s."""
+def test_few_small_instances_join_where_none_is_large(timers, count):
+    """Guards against a long time without any member."""
     instances = SmallInstances(timers, count=count, has_large=False)
     began_ms = timers.now_ms
     instances.run(5_000)
@@ -83,7 +83,7 @@
     assert instances.joined[0] - began_ms <= standby_module.JOIN_JITTER_MS + 300
 
 
-def test_small_ones_leave_large_ones_time_to_return(timers):
+def test_small_instances_give_large_ones_time_to_return(timers):
     instances = SmallInstances(timers, count=18, has_large=True)
     instances.run(4_000)
     assert not instances.joined
@@ -91,14 +91,14 @@
     assert 1 <= len(instances.joined) <= 9
 
 
-def test_small_ones_stay_out_while_a_large_one_is_there(timers):
+def test_small_instances_stay_out_beside_a_large_member(timers):
     instances = SmallInstances(timers, count=18, has_large=True)
     instances.members.append("large|10.0.2.1|7000|1")
     instances.run(20_000)
     assert not instances.joined
 
 
-def test_small_ones_stay_out_while_enough_small_ones_are_there(timers):
+def test_small_instances_stay_out_beside_enough_members(timers):
     instances = SmallInstances(timers, count=18, has_large=False)
     instances.members += [f"other-{n}|10.0.2.{n}|7000|1" for n in range(3)]
     instances.run(20_000)
@@ -106,7 +106,7 @@
 
 
 class OneStandby:
-    """One stand-in beside a group that the test lists, or a store that is away."""
+    """One instance on standby, beside members that the test lists."""
 
     def __init__(self, timers):
         self.joined = []
@@ -143,8 +143,8 @@
 
 
 @pytest.mark.parametrize("why", ["paused", "store_away"])
-def test_a_standby_that_heard_nothing_for_long_reads_again_first(timers, why):
-    """Better members have joined meanwhile; what it read before does not hold."""
+def test_standby_reads_again_before_joining_after_a_pause(timers, why):
+    """Better members may have joined since its last read."""
     standby = OneStandby(timers)
     standby.run(1_000, rows=())
     if why == "paused":
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize("answer_ms", [10, 300, 600])
-def test_a_standby_steps_in_also_where_the_store_answers_late(timers, answer_ms):
+def test_standby_joins_though_the_store_answers_late(timers, answer_ms):
     standby = OneStandby(timers)
     standby.run(8_000, rows=(), answer_ms=answer_ms)
     assert standby.joined
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Log lines and metrics: bounded, never blocking."""
+"""Logs and metrics: bounded, and never blocking."""
 
 import os
 import re
@@ -36,7 +36,7 @@
     return [orjson.loads(row) for row in os.read(pipe[0], 1_000_000).splitlines()]
 
 
-def test_a_line_carries_its_fields_and_both_clocks(writer, pipe):
+def test_line_has_its_fields_and_both_clocks(writer, pipe):
     logger.bind(event="job_ended", job="aa", after_ms=12).info("done")
     (line,) = read(pipe)
     assert line["event"] == "job_ended" and line["after_ms"] == 12
@@ -44,7 +44,7 @@
     assert line["at"].endswith("+00:00")
 
 
-def test_an_error_carries_where_it_arose(writer, pipe):
+def test_error_line_has_a_trace(writer, pipe):
     try:
         raise ValueError("why")
     except ValueError:
@@ -53,14 +53,14 @@
     assert "why" in line["error"] and line["trace"]
 
 
-def test_a_reader_that_stops_holds_nothing_up(writer, pipe):
+def test_stalled_reader_does_not_block(writer, pipe):
     for number in range(20_000):
         writer._write(b"x" * 100 + b"%d\n" % number)
     assert writer.dropped > 0
     assert writer._buffered_bytes <= MAX_BUFFERED_BYTES
 
 
-def test_lines_over_the_budget_are_counted(writer, pipe):
+def test_lines_over_the_limit_are_counted(writer, pipe):
     for _ in range(500):
         logger.bind(event="run_ended").info("x")
     writer.summarize()
@@ -70,16 +70,16 @@
     assert lines[-1]["counts"]["run_ended"] >= 300
 
 
-def test_failures_go_before_successes():
-    budget = LogRateLimiter()
+def test_errors_are_allowed_beyond_the_limit_of_infos():
+    limiter = LogRateLimiter()
     for number in range(1_000):
-        budget.allows(f"event-{number % 50}", "INFO", 5.0)
-    assert not budget.allows("other", "INFO", 5.0)
-    assert budget.allows("failure", "ERROR", 5.0)
-    assert budget.allows("other", "INFO", 6.0)
+        limiter.allows(f"event-{number % 50}", "INFO", 5.0)
+    assert not limiter.allows("other", "INFO", 5.0)
+    assert limiter.allows("failure", "ERROR", 5.0)
+    assert limiter.allows("other", "INFO", 6.0)
 
 
-def test_metrics_are_told_in_the_usual_format():
+def test_metrics_use_the_prometheus_text_format():
     metrics = Metrics()
     metrics.count("refusals", "store_away")
     metrics.count("refusals", "store_away")
@@ -90,26 +90,26 @@
     assert 'thymefork_append_ms_bucket{kind="",le="10"} 0.0' in text
 
 
-def test_label_values_are_bounded():
+def test_label_values_are_limited():
     metrics = Metrics()
     for number in range(1_000):
         metrics.count("retries", f"reason-{number}")
     assert metrics.text().count(b"thymefork_retries_total{") <= 201
 
 
-def test_a_busy_second_hides_no_change_of_ownership():
-    """From cab-bogota-grown, trouble-3: `ownership_gained` was over the budget."""
-    budget = LogRateLimiter()
+def test_routine_events_do_not_suppress_ownership_events():
+    """A change of ownership must not fall to the limit on routine events."""
+    limiter = LogRateLimiter()
     for event in ("tasks_start", "run_ended", "job_ended", "worker_listed"):
         for _ in range(100):
-            budget.allows(event, "INFO", 1.0)
-    assert not budget.allows("step_waits", "INFO", 1.0)
-    assert budget.allows("ownership_gained", "INFO", 1.0)
+            limiter.allows(event, "INFO", 1.0)
+    assert not limiter.allows("step_waits", "INFO", 1.0)
+    assert limiter.allows("ownership_gained", "INFO", 1.0)
 
 
 @pytest.mark.parametrize("method", ["count", "observe"])
 def test_every_counter_and_histogram_is_declared(method):
-    """From wattle-tas-grown, trouble-3: an undeclared counter stopped an owner."""
+    """An undeclared counter raises in the owner that uses it."""
     packages = Path(__file__).parents[4]
     texts = [path.read_text() for path in packages.glob("thymefork-[cd]*/src/**/*.py")]
     pattern = rf"(?:metrics|context)\.{method}\(\s*\"(\w+)\""
@@ -119,7 +119,7 @@
         getattr(Metrics(), method)(name, 1)
 
 
-def test_an_effect_that_fails_holds_up_none_of_the_others():
+def test_failing_effect_does_not_stop_the_others():
     performer = EffectPerformer(
         cell_index=0,
         metrics=Metrics(),
@@ -135,22 +135,22 @@
     assert replies == [reply]
 
 
-def test_what_became_of_a_job_is_told_beside_the_lines_of_its_tasks():
-    """From cab-bogota-large, quiet-1: 249 of 935 accepted jobs were in the log."""
-    budget = LogRateLimiter()
-    admitted = 0
+def test_task_events_do_not_suppress_job_events():
+    """Every job's acceptance and end have to be in the log."""
+    limiter = LogRateLimiter()
+    allowed = 0
     for number in range(1_000):
-        budget.allows(
+        limiter.allows(
             ("tasks_start", "run_ended", "step_waits")[number % 3], "INFO", 1.0
         )
         if number % 10 == 0:
             event = "job_accepted" if number % 20 else "job_ended"
-            admitted += budget.allows(event, "INFO", 1.0)
-    assert admitted == 100
-    assert not all(budget.allows("job_ended", "INFO", 1.0) for _ in range(200))
+            allowed += limiter.allows(event, "INFO", 1.0)
+    assert allowed == 100
+    assert not all(limiter.allows("job_ended", "INFO", 1.0) for _ in range(200))
 
 
-def test_an_overloaded_owner_leaves_out_routine_lines_alone(writer, pipe):
+def test_overloaded_owner_suppresses_routine_lines_only(writer, pipe):
     metrics = Metrics()
     performer = EffectPerformer(
         cell_index=0,
@@ -177,7 +177,7 @@
     assert b'thymefork_owner_shed_total{reason="log_lines"} 1.0' in metrics.text()
 
 
-def test_gauges_are_told():
+def test_gauges_are_exported():
     metrics = Metrics()
     metrics.set("owner_tier", 3)
     assert b"thymefork_owner_tier 3.0" in metrics.text()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_worker_list_watch.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers, before, during and after an outage of the store."""
+"""Watch on the list of workers, before, during and after an outage of the store."""
 
 from types import SimpleNamespace
 
@@ -70,12 +70,12 @@
     scene.reader.answer(ReadResult(records=gone, next_offset=9))
 
 
-def test_an_entry_that_goes_takes_its_worker_out(scene):
+def test_deleted_entry_removes_its_worker(scene):
     lapse(scene, "a", outage_ms=0)
     assert set(scene.watch.entries) == {"b"}
 
 
-def test_entries_that_lapsed_in_an_outage_have_time_to_come_back(scene):
+def test_entries_lapsed_in_an_outage_are_kept_for_a_while(scene):
     lapse(scene, "a", "b", outage_ms=4_800)
     assert set(scene.watch.entries) == {"a", "b"}
     scene.timers.run(1_200)
@@ -84,21 +84,21 @@
     assert set(scene.watch.entries) == {"a"}
 
 
-def test_a_lapsed_worker_gives_way_to_its_machines_new_life(scene):
+def test_lapsed_entry_is_replaced_by_its_machines_new_worker(scene):
     lapse(scene, "a", outage_ms=4_800)
     scene.timers.run(400)
     scene.reader.answer(ReadResult(records=(entry("c", "m-1"),), next_offset=10))
     assert set(scene.watch.entries) == {"b", "c"}
 
 
-def test_the_list_is_read_on_though_a_listener_failed(timers):
+def test_watch_continues_after_a_listener_raised(timers):
     reader, listener = FakeReader(), FailsOnceListener()
     watch = WorkerListWatch(
         store=reader, timers=timers, on_change=listener, on_unreadable=lambda: None
     )
     watch.set_wanted(True)
     result = NewestResult(records=(entry("a"),), next_key="", end_offset=1)
-    with pytest.raises(RuntimeError):  # the pool logs it, with its trace
+    with pytest.raises(RuntimeError):  # the HTTP pool logs it
         reader.answer(result)
     timers.run(500)
     reader.answer(ReadResult(records=(), next_offset=1))
@@ -110,8 +110,8 @@
     assert len(reader.calls) == 1
 
 
-def test_an_entry_that_lapsed_in_an_outage_is_told_from_one_that_was_read(scene):
-    """From the soak: a worker shrank in an outage and was filled by its old entry."""
+def test_entries_lapsed_in_an_outage_are_marked(scene):
+    """An outdated entry may list more capacity than the worker has left."""
     lapse(scene, "a", outage_ms=4_000)
     lapsed = {key: one.is_lapsed for key, one in scene.watch.entries.items()}
     assert lapsed == {"a": True, "b": False}
@@ -121,15 +121,15 @@
     assert not any(one.is_lapsed for one in scene.watch.entries.values())
 
 
-def test_what_an_answer_says_held_when_it_was_asked_for(scene):
-    """From the soak: a paused process read an old answer, and started work by it."""
+def test_list_is_as_old_as_its_request(scene):
+    """A paused process must not take an old answer for a recent one."""
     asked_ms = scene.timers.now_ms
-    scene.timers.run(5_000)  # paused, with the answer waiting
+    scene.timers.run(5_000)  # paused while the answer waits
     scene.reader.answer(ReadResult(records=(), next_offset=2))
     assert scene.watch.as_of_ms == asked_ms
 
 
-def test_a_list_that_is_too_old_is_asked_for_sooner(scene):
+def test_stale_list_is_read_more_often(scene):
     for _ in range(8):
         scene.reader.answer(None)
         scene.timers.run(400)
@@ -139,9 +139,7 @@
 
 
 @pytest.mark.parametrize("spoiled", [b"\xff", b"[]", b'{"service": 7}', b"{}"])
-def test_an_entry_that_another_writer_spoils_names_no_worker_until_it_is_back(
-    scene, spoiled
-):
+def test_invalid_entry_removes_its_worker_until_rewritten(scene, spoiled):
     record = StoreRecord(key="a", value=spoiled)
     scene.reader.answer(ReadResult(records=(record,), next_offset=3))
     assert set(scene.watch.entries) == {"b"}
@@ -151,7 +149,7 @@
     assert set(scene.watch.entries) == {"a", "b"}
 
 
-def test_an_entry_that_never_was_a_workers_leaves_the_others(scene):
+def test_invalid_new_entry_leaves_the_others(scene):
     record = StoreRecord(key="z", value=b"\x00")
     scene.reader.answer(ReadResult(records=(record, entry("c", "m-3")), next_offset=4))
     assert set(scene.watch.entries) == {"a", "b", "c"}
--- a/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers, for instances that own a cell."""
+"""Watch on the platform's list of workers, for instances that own a cell."""
 
 from attrs import evolve
 from loguru import logger
@@ -13,25 +13,25 @@
 __all__ = ["WorkerListWatch"]
 
 TOPIC = "keyed.servers"
-# Workers rewrite their entries all the time, so the list is read at this period: a
-# draining worker is known well within the 2 s in which it may still be given work.
+# Workers rewrite their entries continuously, so the list is polled; the period bounds
+# how long a draining worker may still be given work.
 PERIOD_MS = 400.0
-# Without an answer for this long, entries may have lapsed while the store was away.
-AWAY_MS = 1_000.0
-# Once it is too old to start work by, the list is read at this period, so that what
-# waits for the store's return starts up to 0.25 s sooner.
+# Entries may have lapsed in an outage of the store that is longer than this.
+OUTAGE_MS = 1_000.0
+# Shorter period once the list is too old to start work by, so that waiting tasks start
+# soon after the store recovers.
 STALE_PERIOD_MS = 150.0
-# Workers that live are listed again within about two seconds of the store's return;
-# until then, and a reading later, a lapsed entry says nothing.
-RETURN_MS = 2_000.0 + PERIOD_MS
+# Live workers are listed again within two seconds after the store recovers; until one
+# more read, a lapsed entry does not mean that its worker is gone.
+REREGISTRATION_MS = 2_000.0 + PERIOD_MS
 
 
 class WorkerListWatch:
     """Follow the list while it is wanted.
 
-    `on_unreadable` is called for each record that is no worker's entry. `as_of_ms` is
-    when the last reading that was answered had been sent: what the list says held then,
-    however much later a paused process reads the answer.
+    `on_unreadable` is called for each record that is not a worker's entry. `as_of_ms`
+    is when the last answered read was sent: the entries are valid as of that time,
+    however late a paused process handles the answer.
     """
 
     def __init__(self, *, store, timers, on_change, on_unreadable):
@@ -44,13 +44,13 @@
         self._wanted = False
         self._running = False
         self._answered_ms = steady_ms()
-        self._returned_until_ms = 0.0
+        self._reregistration_until_ms = 0.0
         self.as_of_ms = 0.0
         self._listed = {}
-        self._kept = {}
+        self._lapsed_entries = {}
 
     def set_wanted(self, wanted):
-        """Begin or end following."""
+        """Start or stop following the list."""
         self._wanted = wanted
         if wanted and not self._running:
             self._running = True
@@ -58,7 +58,7 @@
             self._answered_ms = steady_ms()
             self._read_newest({}, "", None)
 
-    def _again(self, action):
+    def _schedule(self, action):
         if self._wanted:
             is_stale = steady_ms() - self.as_of_ms > WORKER_LIST_MAX_AGE_MS
             period_ms = STALE_PERIOD_MS if is_stale else PERIOD_MS
@@ -66,41 +66,45 @@
         else:
             self._running = False
 
-    def _note_answer(self, sent_ms):
-        """Note that the store answers; after an outage, let workers come back."""
+    def _record_answer(self, sent_ms):
+        """Record that the store answers; after an outage, let workers re-register."""
         self.as_of_ms = sent_ms
         now_ms = steady_ms()
-        if now_ms - self._answered_ms > AWAY_MS and self._listed:
-            self._returned_until_ms = now_ms + RETURN_MS
+        if now_ms - self._answered_ms > OUTAGE_MS and self._listed:
+            self._reregistration_until_ms = now_ms + REREGISTRATION_MS
             line = logger.bind(event="workers_may_return", workers=len(self._listed))
-            line.info("entries may have lapsed while the store was away")
-            self._timers.after(RETURN_MS, self._drop_kept)
+            line.info("entries may have lapsed while the store was unavailable")
+            self._timers.after(REREGISTRATION_MS, self._drop_lapsed)
         self._answered_ms = now_ms
 
     def _settle(self, before):
-        """Publish the list; keep what vanished while workers may still come back."""
-        if steady_ms() < self._returned_until_ms:
+        """Publish the list; keep vanished entries while workers may re-register."""
+        if steady_ms() < self._reregistration_until_ms:
             gone = before.keys() - self._listed.keys()
-            self._kept.update({key: _lapsed(before[key]) for key in gone})
+            self._lapsed_entries.update(
+                {key: _mark_lapsed(before[key]) for key in gone}
+            )
         machines = {entry.machine_id for entry in self._listed.values()}
-        self._kept = {
+        self._lapsed_entries = {
             worker_id: entry
-            for worker_id, entry in self._kept.items()
+            for worker_id, entry in self._lapsed_entries.items()
             if worker_id not in self._listed and entry.machine_id not in machines
         }
         self._publish()
 
-    def _drop_kept(self):
-        """Take the workers for gone that did not come back."""
-        if steady_ms() < self._returned_until_ms or not self._kept:
+    def _drop_lapsed(self):
+        """Drop the kept entries of workers that did not re-register."""
+        if steady_ms() < self._reregistration_until_ms or not self._lapsed_entries:
             return
-        line = logger.bind(event="workers_not_back", workers=sorted(self._kept))
-        line.info("these are taken for gone")
-        self._kept = {}
+        line = logger.bind(
+            event="workers_not_back", workers=sorted(self._lapsed_entries)
+        )
+        line.info("workers did not re-register after the outage; dropping them")
+        self._lapsed_entries = {}
         self._publish()
 
     def _publish(self):
-        entries = self._kept | self._listed
+        entries = self._lapsed_entries | self._listed
         if entries != self.entries:
             self.entries = entries
             self._notifier.mark_changed()
@@ -116,19 +120,19 @@
 
     def _on_newest(self, result, found, offset, sent_ms):
         if result is None:
-            self._again(lambda: self._read_newest({}, "", None))
+            self._schedule(lambda: self._read_newest({}, "", None))
             return
-        self._note_answer(sent_ms)
-        # Later pages may miss changes made since the first: follow from its end.
+        self._record_answer(sent_ms)
+        # Later pages may miss changes made since the first, so follow from its end.
         offset = result.end_offset if offset is None else offset
         for record in result.records:
-            self._take(found, record)
+            self._apply(found, record)
         if result.next_key:
             self._read_newest(found, result.next_key, offset)
             return
         before, self._listed = self._listed, found
         self.is_complete = True
-        self._again(lambda: self._follow(offset))
+        self._schedule(lambda: self._follow(offset))
         self._settle(before)
 
     def _follow(self, offset):
@@ -141,23 +145,22 @@
 
     def _on_read(self, result, offset, sent_ms):
         if result is None:
-            self._again(lambda: self._follow(offset))
+            self._schedule(lambda: self._follow(offset))
             return
         if result.history_gone:
             self._read_newest({}, "", None)
             return
-        self._note_answer(sent_ms)
+        self._record_answer(sent_ms)
         before = dict(self._listed)
         for record in result.records:
-            self._take(self._listed, record)
-        self._again(lambda: self._follow(result.next_offset))
+            self._apply(self._listed, record)
+        self._schedule(lambda: self._follow(result.next_offset))
         self._settle(before)
 
-    def _take(self, entries, record):
-        """Take a record; what others wrote names no worker until it is written over.
+    def _apply(self, entries, record):
+        """Apply a record; an invalid one removes the entry until it is rewritten.
 
-        Nothing new starts there then; what runs is looked at as on any worker that is
-        not listed just now.
+        Nothing new starts on that worker; its runs are polled as on any unlisted one.
         """
         if not record.value:
             entries.pop(record.key, None)
@@ -170,6 +173,6 @@
             logger.bind(event="worker_unreadable").warning("{}", failure)
 
 
-def _lapsed(entry):
-    """Return an entry of which it is not known whether it still holds."""
+def _mark_lapsed(entry):
+    """Return a copy of an entry, marked as possibly outdated."""
     return evolve(entry, is_lapsed=True)
