--- a/bench/experiments.py
+++ b/bench/experiments.py
@@ -57,9 +57,9 @@
 
 def _by_class_alone(fit, worker, *, is_remote=False):
     """Rate by speed alone: the first queue takes fast workers, others slow ones."""
-    is_first = fit._fast_penalty == speed_scorer.FAST_PENALTY_MOST_URGENT
+    is_most_urgent = fit._fast_penalty == speed_scorer.FAST_PENALTY_MOST_URGENT
     points = speed_scorer.FAST_PENALTY * log(worker.slowness)
-    return points if is_first else -points
+    return points if is_most_urgent else -points
 
 
 # What a variant changes: module or class, name and value.
--- a/bench/load_states.py
+++ b/bench/load_states.py
@@ -54,7 +54,7 @@
 
 
 def _can_be_in_time(order, step, slowness, now_ms):
-    chance = order._durations.late_chance(step, now_ms)
+    chance = order._durations.lateness_probability(step, now_ms)
     if chance is None:
         return True
     return chance._usual_ms * slowness <= chance._left_ms
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
@@ -46,9 +46,9 @@
         raise TypeError(f"{type(message).__name__} is no message on parts")
 
     @on_message.register
-    def _on_ask(self, ask: RequestParts, *, now_ms):
-        self._borrowing.on_recall(ask, now_ms)
-        self._lending.on_ask(ask, now_ms)
+    def _on_ask(self, request: RequestParts, *, now_ms):
+        self._borrowing.on_recall(request, now_ms)
+        self._lending.on_request(request, now_ms)
 
     @on_message.register
     def _on_grant(self, grant: GrantParts, *, now_ms):
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_needs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_needs.py
@@ -15,7 +15,7 @@
         self._ledger = ledger
         self._quotas = quotas
 
-    def knows(self, name):
+    def has_known_limit(self, name):
         """Tell whether an account's limit is known."""
         return self._quotas.known_limit(name) is not None
 
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_requester.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_requester.py
@@ -35,7 +35,7 @@
         self._may_lack = set()
         self._configuration = None
 
-    def ask(self, accounts, now_ms):
+    def request(self, accounts, now_ms):
         """Ask for what work lacks whose turn has come; renew asks that still hold."""
         changed_accounts = self._ledger.changed_accounts
         is_new_plan = self._quotas.plan_number != self._plan_number
@@ -67,7 +67,7 @@
             self._configuration = self._context.configuration
             self._may_lack = set(self._context.usages)
         for name in list(self._may_lack):
-            is_known = self._needs.knows(name)
+            is_known = self._needs.has_known_limit(name)
             if not is_known or not self._cover(name, accounts[name], now_ms):
                 self._may_lack.discard(name)
 
@@ -98,9 +98,9 @@
         least = self._needs.required_to_start(name).minus(usable)
         wanted = self._needs.wanted(name).elementwise_min(self._needs.whole)
         most = wanted.minus(usable).elementwise_max(least)
-        if least.minus(account.asked):
-            soon_ms = max(now_ms, account.asked_ms + ASK_FOR_MORE_MS)
-            account.due_ms = min(account.due_ms, max(soon_ms, account.paused_until_ms))
+        if least.minus(account.requested):
+            soon_ms = max(now_ms, account.requested_ms + ASK_FOR_MORE_MS)
+            account.due_ms = min(account.due_ms, max(soon_ms, account.backoff_until_ms))
         if not most:
             self.stop(name)
         elif now_ms >= account.due_ms and not account.is_covering:
@@ -112,9 +112,9 @@
         if name not in self._asking:
             self._asking.add(name)
             account.rounds = 0
-        if now_ms - account.asked_ms > LONGEST_ASK_AGAIN_MS:
+        if now_ms - account.requested_ms > LONGEST_ASK_AGAIN_MS:
             account.wait_ms = ASK_AGAIN_MS
-        account.asked, account.asked_ms = least, now_ms
+        account.requested, account.requested_ms = least, now_ms
         account.due_ms = now_ms + account.wait_ms
         account.wait_ms = min(LONGEST_ASK_AGAIN_MS, 2 * account.wait_ms)
         account.rounds += 1
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_returner.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_returner.py
@@ -27,17 +27,17 @@
         self._needs = needs
         self._asking = asking
 
-    def on_recall(self, account, ask, now_ms):
+    def on_recall(self, account, request, now_ms):
         """Start nothing more by what a lender now asks back."""
-        row = self._ledger.borrowed_from(ask.account).get(ask.borrower)
+        row = self._ledger.borrowed_from(request.account).get(request.borrower)
         if row is None:
             return
-        account.recalls.pop(ask.borrower, None)
-        parts = ask.most.elementwise_min(row.parts)
+        account.recalls.pop(request.borrower, None)
+        parts = request.most.elementwise_min(row.parts)
         if parts:
-            account.recalls[ask.borrower] = (parts, now_ms + RECALL_KEPT_MS)
+            account.recalls[request.borrower] = (parts, now_ms + RECALL_KEPT_MS)
             self._context.count("limit_parts", "recalled")
-        self.apply_recalls(ask.account, account, now_ms)
+        self.apply_recalls(request.account, account, now_ms)
 
     def apply_recalls(self, name, account, now_ms):
         """Give back what lenders ask back, as far as nothing runs by it any more."""
@@ -67,12 +67,12 @@
             self._give_back_any(name, account.idle, reason)
             account.idle = None
 
-    def tell(self, name, lender):
+    def report_held(self, name, lender):
         """Tell a lender what is still counted on, by its latest grant."""
         row = self._ledger.borrowed_from(name)[lender]
         self._hold(name, lender, row.grant, row.parts)
 
-    def tell_epoch(self, name, lender):
+    def report_epoch(self, name, lender):
         """Tell a lender that another owner than the one it lent to has the cell."""
         self._hold(name, lender, (0, 0), LimitParts())
 
@@ -93,7 +93,7 @@
         self._give_back_any(name, unused, "could_not_begin")
         self._asking.stop(name)
         pause_ms = PAUSE_MS + PAUSE_PER_CELL_MS * self._context.cell
-        account.due_ms = account.paused_until_ms = now_ms + pause_ms
+        account.due_ms = account.backoff_until_ms = now_ms + pause_ms
 
     def _give_back_any(self, name, parts, reason):
         for lender, row in self._ledger.borrowed_from(name).items():
@@ -104,8 +104,8 @@
 
     def _give_back(self, name, lender, parts, reason):
         """Count on less from now on, then say so."""
-        self._ledger.give_back(name, lender, parts)
-        self.tell(name, lender)
+        self._ledger.return_parts(name, lender, parts)
+        self.report_held(name, lender)
         self._context.count("limit_parts", f"returned_{reason}")
         self._context.note(
             "parts_returned",
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
@@ -183,7 +183,7 @@
         self._borrowed.setdefault(name, {})[lender] = row
         self._note_debt(name)
 
-    def give_back(self, name, lender, parts):
+    def return_parts(self, name, lender, parts):
         """Count no more on some of what was borrowed."""
         row = self._borrowed[name][lender]
         row.parts = row.parts.minus(parts)
--- a/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
@@ -184,7 +184,7 @@
             return self._to_renew(step, workers, now_ms)
         lateness = None
         if self._speeds.is_heterogeneous:
-            lateness = self._durations.late_chance(step, now_ms)
+            lateness = self._durations.lateness_probability(step, now_ms)
         return choose_workers(
             step,
             with_room,
--- a/packages/thymefork-cells/src/thymefork_cells/cell.py
+++ b/packages/thymefork-cells/src/thymefork_cells/cell.py
@@ -121,7 +121,7 @@
             reservations=Reservations(
                 context=self.context, durations=self.durations, forecast=forecast
             ),
-            trials=CrashIsolation(),
+            crash_isolation=CrashIsolation(),
             quotas=self.quotas,
             speeds=self.speeds,
         )
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/image_durations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/image_durations.py
@@ -59,7 +59,7 @@
         """Tell whether a task of a step that starts at a moment meets its objective."""
         return start_ms + self.expected_ms(step.spec, worker) < step.job.objective_ms
 
-    def late_chance(self, step, now_ms):
+    def lateness_probability(self, step, now_ms):
         """Return what judges workers for tasks of a step; None where time is no aim.
 
         What the job's later steps take is left for them.
--- a/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
@@ -9,7 +9,7 @@
 
 from functools import partial
 
-from ..state import Trial, have_similar_timing
+from ..state import Isolation, have_similar_timing
 from ..workers.worker_losses import MAX_CRASHES, MAX_LOSSES, clearing_time_ms
 from .worker_ranking import REMOTE_PENALTY, UNRELIABLE_PENALTY
 
@@ -79,7 +79,7 @@
         until_ms = now_ms + clearing_time_ms(task)
         if worker.trial is not None and worker.trial.job is task.step.job:
             until_ms = max(until_ms, worker.trial.until_ms)
-        worker.trial = Trial(job=task.step.job, until_ms=until_ms)
+        worker.trial = Isolation(job=task.step.job, until_ms=until_ms)
 
     @staticmethod
     def rate(step, worker):
--- a/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
@@ -35,7 +35,7 @@
         durations,
         preemptor,
         reservations,
-        trials,
+        crash_isolation,
         quotas,
         speeds,
     ):
@@ -43,7 +43,7 @@
         self._durations = durations
         self._speeds = speeds
         self._quotas = quotas
-        self._trials = trials
+        self._trials = crash_isolation
         self._preemptor = preemptor
         self._reservations = reservations
         used_shares = DominantShares(context=context)
@@ -150,7 +150,7 @@
             workers=usable,
             hall=best_hall(spec, suitable, len(tasks)),
             tasks_per_worker=step.runs_per_worker() if spec.most_per_worker else None,
-            rate=partial(fit_score, spec, speed_fit=fit),
+            rate=partial(fit_score, spec, speed_scorer=fit),
             has_unasked_workers=self._advice.has_unasked_workers(step, workers),
         )
         starts = self._start(tasks, ranking)
@@ -160,12 +160,12 @@
 
     def _speed_fit(self, step, now_ms):
         """Return what rates workers by speed; None where speed makes no difference."""
-        lateness = self._durations.late_chance(step, now_ms)
+        lateness = self._durations.lateness_probability(step, now_ms)
         if lateness is None:
             return None
         if self._speeds.is_heterogeneous:
-            is_first = self._context.is_most_urgent(step.job)
-            return SpeedScorer(lateness=lateness, is_first=is_first)
+            is_most_urgent = self._context.is_most_urgent(step.job)
+            return SpeedScorer(lateness=lateness, is_most_urgent=is_most_urgent)
         queue_name = step.job.queue_name
         self._risk.note(queue_name, lateness.for_slowness(1.0))
         is_wanted = self._risk.is_high(queue_name)
--- a/packages/thymefork-cells/src/thymefork_cells/placement/speed_scorer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/speed_scorer.py
@@ -26,13 +26,15 @@
 
     A task that only fast workers end in time goes there first. One that is in time, or
     late, on all of them takes slow ones, which leaves the fast ones to others;
-    `is_first` tells that no queue is more urgent. One that is far slower than sound
+    `is_most_urgent` tells that no queue is more urgent. One that is far slower than sound
     ones is rated worse than any of them.
     """
 
-    def __init__(self, *, lateness, is_first):
+    def __init__(self, *, lateness, is_most_urgent):
         self._chance = lateness
-        self._fast_penalty = FAST_PENALTY_MOST_URGENT if is_first else FAST_PENALTY
+        self._fast_penalty = (
+            FAST_PENALTY_MOST_URGENT if is_most_urgent else FAST_PENALTY
+        )
         self._points = {}
 
     def rate(self, worker, *, is_remote=False):
--- a/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_scorer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_scorer.py
@@ -30,21 +30,25 @@
     return Worker(entry=entry, slowness=slowness)
 
 
-def fit(left_ms, *, is_first=True):
+def fit(left_ms, *, is_most_urgent=True):
     lateness = LatenessProbability(usual_ms=USUAL_MS, left_ms=left_ms)
-    return SpeedScorer(lateness=lateness, is_first=is_first)
+    return SpeedScorer(lateness=lateness, is_most_urgent=is_most_urgent)
 
 
-@pytest.mark.parametrize("is_first", [True, False])
-def test_what_only_a_fast_worker_ends_in_time_goes_there_whatever_its_hall(is_first):
-    rate = fit(1_400.0, is_first=is_first).rate
+@pytest.mark.parametrize("is_most_urgent", [True, False])
+def test_what_only_a_fast_worker_ends_in_time_goes_there_whatever_its_hall(
+    is_most_urgent,
+):
+    rate = fit(1_400.0, is_most_urgent=is_most_urgent).rate
     assert rate(worker(0, SLOW)) > rate(worker(1, FAST)) + OTHER_HALL_PENALTY
 
 
 @pytest.mark.parametrize("left_ms", [10_000.0, -1.0])
-@pytest.mark.parametrize("is_first", [True, False])
-def test_what_is_in_time_or_late_everywhere_leaves_fast_workers(left_ms, is_first):
-    rate = fit(left_ms, is_first=is_first).rate
+@pytest.mark.parametrize("is_most_urgent", [True, False])
+def test_what_is_in_time_or_late_everywhere_leaves_fast_workers(
+    left_ms, is_most_urgent
+):
+    rate = fit(left_ms, is_most_urgent=is_most_urgent).rate
     assert rate(worker(0, SLOW)) < rate(worker(1, FAST))
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/placement/worker_ranking.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/worker_ranking.py
@@ -144,10 +144,10 @@
     return min(copies, spec.count)
 
 
-def fit_score(spec, worker, speed_fit=None):
+def fit_score(spec, worker, speed_scorer=None):
     """Rate a worker for a task; the lowest is best: the tightest fit that is sound.
 
-    `speed_fit` rates it by its speed besides, where workers are uneven.
+    `speed_scorer` rates it by its speed besides, where workers are uneven.
     """
     entry = worker.entry
     left_cpu = (worker.free_cpu_milli - spec.reserved_cpu_milli) / entry.cpu_milli
@@ -156,8 +156,8 @@
     is_remote = bool(spec.preferred_rack) and spec.preferred_rack != entry.rack
     # Few steps can disturb others at all, and each worker is rated for each step.
     disturbs = (spec.fills_idle_cpu or spec.target_tail_ms) and _disturbs(spec, worker)
-    if speed_fit is not None:
-        points += speed_fit.rate(worker, is_remote=is_remote)
+    if speed_scorer is not None:
+        points += speed_scorer.rate(worker, is_remote=is_remote)
         points += SPEED_SCORE_RANGE * (_is_likely_bad(worker) + bool(disturbs))
     if spec.accelerators and entry.accelerators:
         # Tasks that want all of a worker's need one that no single task has broken.
--- a/packages/thymefork-cells/src/thymefork_cells/state/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/__init__.py
@@ -2,11 +2,11 @@
 
 from .account_usage import AccountUsage
 from .advice_slots import LONG_CALL_MS, AdviceSlots
+from .isolation import Isolation
 from .job import Job, JobState
 from .run import Run, RunState
 from .step_state import StepState, Ticket
 from .task import Task
-from .trial import Trial
 from .worker import Worker
 from .worker_health import WorkerHealth
 from .worker_loss import EARLY_LOSS_MS, WorkerLoss, have_similar_timing
@@ -16,6 +16,7 @@
     "LONG_CALL_MS",
     "AccountUsage",
     "AdviceSlots",
+    "Isolation",
     "Job",
     "JobState",
     "Run",
@@ -23,7 +24,6 @@
     "StepState",
     "Task",
     "Ticket",
-    "Trial",
     "Worker",
     "WorkerHealth",
     "WorkerLoss",
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -39,7 +39,7 @@
     time, None for as many as needed. An order to a worker whose address is not known
     goes nowhere, as in the daemon.
     `crashes_after_ms` tells of a task how long after its start it crashes its worker,
-    None if it does not; the machine is back after `back_after_ms`, as another worker
+    None if it does not; the machine is back after `return_delay_ms`, as another worker
     or, where it `keeps_worker_ids`, as the same, listed `entry_delay_ms` later; `crashes`
     lists what happened. `owners` carries messages on parts of limits to the owners of
     other cells, which are idle where nothing is said. `violations` lists the starts that
@@ -91,7 +91,7 @@
         self.append_latency_ms = lambda: APPEND_MS
         self.cycle_interval_ms = lambda: TURN_MS
         self.crashes_after_ms = lambda task: None
-        self.back_after_ms = 2_800.0
+        self.return_delay_ms = 2_800.0
         self.keeps_worker_ids = False
         self.entry_delay_ms = 0.0
         self.crashes = []
--- a/packages/thymefork-cells/src/thymefork_cells/tests/machine_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/machine_faults.py
@@ -42,7 +42,7 @@
         if self._harness.keeps_worker_ids:
             self.restart(
                 worker,
-                away_ms=self._harness.back_after_ms,
+                away_ms=self._harness.return_delay_ms,
                 entry_delay_ms=self._harness.entry_delay_ms,
             )
             return
@@ -102,7 +102,7 @@
         return entry
 
     def _come_back(self, worker):
-        lapse_ms = min(LAPSE_MS, self._harness.back_after_ms)
+        lapse_ms = min(LAPSE_MS, self._harness.return_delay_ms)
         yield self._harness.env.timeout(lapse_ms)
         entry = next(
             one for one in self._harness.entries if one.worker_id == worker.worker_id
@@ -110,7 +110,7 @@
         self._harness.publish_worker_list(
             [one for one in self._harness.entries if one is not entry]
         )
-        yield self._harness.env.timeout(self._harness.back_after_ms - lapse_ms)
+        yield self._harness.env.timeout(self._harness.return_delay_ms - lapse_ms)
         worker.is_replaced = True
         new_id = f"{worker.worker_id}+"
         self._harness.workers[new_id] = VirtualWorker(
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
@@ -174,7 +174,7 @@
 
 def test_a_task_waits_for_word_of_the_third_worker(make_harness):
     harness = make_harness(workers=9, **THREE_HALLS)
-    harness.back_after_ms = 3_700.0  # later than the leases are over
+    harness.return_delay_ms = 3_700.0  # later than the leases are over
     harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(30_000)
@@ -236,7 +236,7 @@
     make_harness,
 ):
     harness = make_harness(workers=6, **THREE_HALLS)
-    harness.back_after_ms = 4_500.0
+    harness.return_delay_ms = 4_500.0
     set_work_ms(harness, 120_000.0)
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(1_000)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
@@ -56,12 +56,12 @@
 
 @pytest.mark.parametrize("shape", SHAPES)
 @pytest.mark.parametrize("after_ms", [5.0, 400.0])
-@pytest.mark.parametrize("back_after_ms", [900.0, 2_800.0, 12_000.0])
+@pytest.mark.parametrize("return_delay_ms", [900.0, 2_800.0, 12_000.0])
 def test_a_task_that_crashes_its_workers_is_given_up(
-    make_harness, shape, after_ms, back_after_ms
+    make_harness, shape, after_ms, return_delay_ms
 ):
     harness = make_harness(workers=12)
-    harness.back_after_ms = back_after_ms
+    harness.return_delay_ms = return_delay_ms
     harness.crashes_after_ms = crash_by(FIRST_TASK, after_ms=after_ms)
     harness.submit(CRASHING, job_spec(SHAPES[shape]))
     harness.run(60_000)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_worker_restarts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_worker_restarts.py
@@ -141,7 +141,7 @@
     """
     harness = make_harness(workers=2)
     harness.keeps_worker_ids = True
-    harness.back_after_ms = away_ms
+    harness.return_delay_ms = away_ms
     harness.entry_delay_ms = entry_delay_ms
     task = f"{JOB}.0.0.0"
     harness.crashes_after_ms = lambda name: 10.0 if name == task else None
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -178,7 +178,7 @@
         )
         self._context.count("run_ends", "lease_expired", len(runs))
         for run in runs:
-            run.task.given_up.add(run.run_id)
+            run.task.expired_runs.add(run.run_id)
         self._losses.on_worker_lost(worker, runs, is_certain=False, now_ms=now_ms)
         worker.has_reported = False
         worker.leases_expired_ms = now_ms
--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -13,12 +13,13 @@
 from thymefork_net.http import HttpPool, HttpServer
 from thymefork_net.peers import Links
 
-from .capacity import OwningCapacity
+from .capacity import OwnerCapacity
 from .configuration_watch import ConfigurationWatch
 from .frontend import Frontend
 from .gateway import Gateway
 from .handover import Handover
 from .heard_end_buffer import HeardEndBuffer
+from .join_deferral import JoinDeferral
 from .layout import WORKERS_PER_CELL, Layout
 from .learned_speeds import LearnedSpeeds
 from .limit_part_router import LimitPartRouter
@@ -26,8 +27,7 @@
 from .operator_server import OperatorServer
 from .owned_cells import OwnedCells
 from .owner_directory import OwnerDirectory
-from .owner_first import OwnerFirst
-from .owner_load_watch import OwnerLoadWatch
+from .owner_load_monitor import OwnerLoadMonitor
 from .peer_dispatcher import PeerDispatcher
 from .readiness import Readiness
 from .settings_watch import SettingsWatch
@@ -82,7 +82,7 @@
             address=settings.peer,
             listener=self.peers,
         )
-        self.owner_load = OwnerLoadWatch(daemon=self, link_mbps=settings.link_mbps)
+        self.owner_load = OwnerLoadMonitor(daemon=self, link_mbps=settings.link_mbps)
         self.handover = Handover(
             daemon=self, tier=self.capacity.tier, address=settings.peer
         )
@@ -147,7 +147,7 @@
             settings=self.settings,
             life=self._life,
             on_change=self.owned_cells.update,
-            must_wait=OwnerFirst(daemon=self).waits,
+            must_wait=JoinDeferral(daemon=self).waits,
         )
         self.directory = OwnerDirectory(
             store=self.store,
@@ -164,7 +164,7 @@
             layout=self.layout,
             tier=self.capacity.tier,
             owner_tier=lambda: self.peers.member_statuses.owner_tier(),
-            rest_until_ms=lambda: self.handover.rest_until_ms,
+            cooldown_until_ms=lambda: self.handover.cooldown_until_ms,
             is_stopping=lambda: self.is_stopping,
         )
 
@@ -252,7 +252,7 @@
 
 def _capacity(settings):
     """Return how well an instance with these settings can own a cell."""
-    return OwningCapacity(
+    return OwnerCapacity(
         cores=settings.speed_cores,
         link_mbps=settings.link_mbps,
         memory_mb=settings.memory_mb,
--- a/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
@@ -59,7 +59,7 @@
             request.answer(404)
             return
         account = configuration.account_of_key(CallerRequests.key_of(request))
-        if account is None and configuration.wants_key(queue):
+        if account is None and configuration.requires_key(queue):
             self._refuse_key(request)
             return
         try:
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_first.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/join_deferral.py
@@ -2,7 +2,7 @@
 
 from thymefork_net import steady_ms
 
-__all__ = ["OwnerFirst"]
+__all__ = ["JoinDeferral"]
 
 # Once the store answers this instance's reads for this long, an owner that still has
 # not joined is cut off by itself: two of its tries to join, and the beat that tells.
@@ -12,7 +12,7 @@
 FIRST_ANSWER_MS = 100.0
 
 
-class OwnerFirst:
+class JoinDeferral:
     """Let an owner that waits for the store, as this instance does, join before it.
 
     Memberships may have run out in the outage. Whoever joins first is dealt the cells.
--- a/packages/thymefork-daemon/src/thymefork_daemon/member_statuses.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/member_statuses.py
@@ -30,15 +30,15 @@
         before = self._statuses.get(address)
         self._statuses[address] = MemberStatus(
             address=str(address),
-            tier=Tier.read(message.tier),
-            best_tier=Tier.read(message.best_tier),
+            tier=Tier.from_number(message.tier),
+            best_tier=Tier.from_number(message.best_tier),
             load_percent=message.load_percent or 0,
             in_group=in_group,
             can_own=can_own,
             owned=frozenset(owned.cell for owned in message.owned),
             join_ms=float(message.join_ms or 0) if can_own else 0.0,
             heard_ms=now_ms,
-            well_since_ms=_healthy_since(before, now_ms) if can_own else None,
+            healthy_since_ms=_healthy_since(before, now_ms) if can_own else None,
         )
 
     def forget(self, address):
@@ -70,6 +70,6 @@
 
 
 def _healthy_since(before, now_ms):
-    if before is None or before.well_since_ms is None or not before.is_fresh(now_ms):
+    if before is None or before.healthy_since_ms is None or not before.is_fresh(now_ms):
         return now_ms
-    return before.well_since_ms
+    return before.healthy_since_ms
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/advisers.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
@@ -9,10 +9,10 @@
 from thymefork_net import steady_ms
 from thymefork_net.peers import AdviceRequest
 
-from .adviser import Adviser, is_wanted
+from .advice_proxy import AdviceProxy, is_wanted
 from .short_call_reserve import ShortCallReserve
 
-__all__ = ["Advisers"]
+__all__ = ["AdviceDispatcher"]
 
 # A call is given up after its cost by the service's figures, times this, plus slack
 # for links: the service may be a little slow, and works on one call of an instance
@@ -29,7 +29,7 @@
 _CALL_IDS = count(random.SystemRandom().randrange(1, MOST_FIRST_CALL_ID))
 
 
-class Advisers:
+class AdviceDispatcher:
     """Give each instance one call at a time, the most urgent first, none for ever.
 
     `on_answer(step, worker_ids, tickets, valid_ms)` takes each outcome; tickets are
@@ -54,7 +54,7 @@
         self._metrics = metrics
         self._on_answer = on_answer
         self._tell_withdrawn = tell_withdrawn
-        self._advisers = {instance: Adviser(name=instance)}
+        self._advisers = {instance: AdviceProxy(name=instance)}
         self._own_name = instance
         self._turn = run_cycle
         self._waiting = []
@@ -69,7 +69,7 @@
         """Take the links to the other instances that are open now."""
         names = {link.peer.instance: link for link in links}
         for name, link in names.items():
-            adviser = self._advisers.setdefault(name, Adviser(name=name))
+            adviser = self._advisers.setdefault(name, AdviceProxy(name=name))
             if adviser.name != self._own_name:
                 adviser.link = link
         self._drop({*self._advisers} - {*names, self._own_name})
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pump.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pipeline.py
@@ -8,10 +8,10 @@
 from thymefork_net import steady_ms
 
 from .append_call import AppendCall
-from .append_flight import AppendFlight
 from .append_window import AppendWindow
+from .in_flight_append import InFlightAppend
 
-__all__ = ["AppendPump"]
+__all__ = ["AppendPipeline"]
 
 # An append that was turned away, or failed, is sent again after this long.
 AGAIN_MS = 60.0
@@ -26,7 +26,7 @@
 UNANSWERED_MS = 400.0
 
 
-class AppendPump:
+class AppendPipeline:
     """Number batches one after the other and send them; take the answers as they come.
 
     The store takes a number only after the one before it, so an answer that tells of
@@ -35,13 +35,13 @@
     """
 
     def __init__(
-        self, *, partition, timers, metrics, last_sequence, may_write, on_lost
+        self, *, partition, timers, metrics, last_sequence, may_write, on_ownership_lost
     ):
         self._partition = partition
         self._timers = timers
         self._metrics = metrics
         self._may_write = may_write
-        self._on_lost = on_lost
+        self._on_lost = on_ownership_lost
         self._stored_number = last_sequence
         self._last_number = last_sequence
         self._flights = deque()
@@ -90,7 +90,7 @@
         """Stop: the cell is no longer ours."""
         self._ended = True
 
-    def _line(self, event, **fields):
+    def _event_logger(self, event, **fields):
         return logger.bind(event=event, cell=self._partition.cell, **fields)
 
     # Sending -----------------------------------------------------------------
@@ -104,7 +104,7 @@
         now_ms = steady_ms()
         # An append without records would take no number.
         self._last_number += bool(batch.records)
-        flight = AppendFlight(
+        flight = InFlightAppend(
             batch=batch,
             number=self._last_number,
             on_stored=on_stored,
@@ -135,7 +135,9 @@
         if not self._is_first(flight):
             return
         records = sum(len(other.batch.records) for other in self._flights)
-        line = self._line("store_silent", records=records, appends=len(self._flights))
+        line = self._event_logger(
+            "store_silent", records=records, appends=len(self._flights)
+        )
         line.info("an append is not answered")
 
     def _is_open(self, flight):
@@ -227,7 +229,7 @@
 
     def _on_turned_away(self, flight, result):
         if not self._failing:
-            line = self._line("store_turns_away")
+            line = self._event_logger("store_turns_away")
             line.info("an append was not done: {}", result.error)
         self._failing = True
         flight.is_turned_away = self._is_first(flight)
@@ -241,7 +243,7 @@
 
     def _lose(self, result):
         self._ended = True
-        line = self._line(
+        line = self._event_logger(
             "append_refused", epoch=self._partition.epoch, sequence=self._stored_number
         )
         line.warning("{} {}", result.outcome, result.error)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -83,7 +83,7 @@
         if not under_way:
             return
         if not self._beside_others:
-            line = self._line("appends_overlap", alone_ms=round(self._alone_ms))
+            line = self._event_logger("appends_overlap", alone_ms=round(self._alone_ms))
             line.info("the store is slow: appends are sent beside others")
         self._beside_others += 1
 
@@ -102,10 +102,12 @@
 
     def _turn_over(self, took_ms):
         event = "store_slow" if self._is_slow else "store_quick"
-        line = self._line(event, took_ms=round(took_ms))
+        line = self._event_logger(event, took_ms=round(took_ms))
         line.info("an append took {:.0f} ms", took_ms)
         if self._beside_others:
-            line = self._line("appends_in_turn", beside_others=self._beside_others)
+            line = self._event_logger(
+                "appends_in_turn", beside_others=self._beside_others
+            )
             line.info("one append at a time again")
         self._beside_others = 0
         self._alone_ms = 0.0
@@ -127,5 +129,5 @@
         elif waiting < FEW_WAITING and self._aimed_at > 1.0:
             self._aimed_at = min(MOST_UNDER_WAY, self._aimed_at + MORE_BY)
 
-    def _line(self, event, **fields):
+    def _event_logger(self, event, **fields):
         return logger.bind(event=event, cell=self._cell, **fields)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -7,15 +7,15 @@
 from thymefork_cells import Cell, effects as fx
 from thymefork_net import steady_ms
 
-from .advisers import Advisers
-from .append_pump import AppendPump
+from .advice_dispatcher import AdviceDispatcher
+from .append_pipeline import AppendPipeline
 from .cell_partition import CellPartition
-from .effect_performer import EffectPerformer
-from .order_sender import OrderSender
+from .command_sender import CommandSender
+from .effect_executor import EffectExecutor
 from .ownership import Ownership
 from .request_handler import RequestHandler
+from .scheduling_loop import SchedulingLoop
 from .takeover import Takeover
-from .turn_loop import TurnLoop
 
 __all__ = ["CellOwner"]
 
@@ -31,7 +31,7 @@
         self.epoch = epoch
         self.cell = None
         self._daemon = daemon
-        self._began_ms = steady_ms()
+        self._started_ms = steady_ms()
         self._ended = False
         self._turns = None
         self._requests = None
@@ -45,14 +45,14 @@
         self._takeover = self._build_takeover()
         self._pump = self._build_pump()
         self._advisers = self._build_advisers()
-        self._performer = EffectPerformer(
+        self._performer = EffectExecutor(
             cell_index=cell,
             metrics=daemon.metrics,
             advisers=self._advisers,
-            orders=OrderSender(owner=self, client=daemon.workers),
+            orders=CommandSender(owner=self, client=daemon.workers),
             on_ends_stored=self._on_ends_stored,
             tell_ends=self._tell_members,
-            sheds=daemon.owner_load.shedding.sheds,
+            sheds=daemon.owner_load.load_shedder.sheds,
             tell_speeds=self._tell_speeds,
             send_parts=lambda message: daemon.parts.send(message),
         )
@@ -63,21 +63,21 @@
             timers=self._daemon.timers,
             owner=self._daemon.settings.instance,
             on_loaded=self._on_loaded,
-            on_fenced=lambda: self.lose("fenced"),
+            on_fenced=lambda: self.drop_ownership("fenced"),
         )
 
     def _build_pump(self):
-        return AppendPump(
+        return AppendPipeline(
             partition=self._partition,
             timers=self._daemon.timers,
             metrics=self._daemon.metrics,
             last_sequence=self._takeover.sequence,
             may_write=self._ownership.is_certain,
-            on_lost=self.lose,
+            on_ownership_lost=self.drop_ownership,
         )
 
     def _build_advisers(self):
-        return Advisers(
+        return AdviceDispatcher(
             client=self._daemon.advice,
             timers=self._daemon.timers,
             metrics=self._daemon.metrics,
@@ -142,10 +142,10 @@
         self._daemon.metrics.count("ownership", "lost")
         self._log("ownership_lost").info("{}", reason)
 
-    def lose(self, reason):
+    def drop_ownership(self, reason):
         """Give the cell up, since it is certainly another's."""
         self.end(reason)
-        self._daemon.owned_cells.on_lost(self)
+        self._daemon.owned_cells.on_ownership_lost(self)
 
     def _log(self, event):
         return logger.bind(event=event, cell=self.cell_index, epoch=self.epoch)
@@ -189,7 +189,7 @@
         self._daemon.metrics.count("ownership", "takeover_failed")
         line = self._log("takeover_failed").opt(exception=True)
         line.error("the cell can't be served here")
-        self.lose("its takeover failed")
+        self.drop_ownership("its takeover failed")
 
     def _serve(self, records):
         now_ms = steady_ms()
@@ -202,7 +202,7 @@
             timers=self._daemon.timers,
             settle=self.settle,
         )
-        self._turns = TurnLoop(
+        self._turns = SchedulingLoop(
             cell=cell,
             ownership=self._ownership,
             pump=self._pump,
@@ -218,12 +218,12 @@
         speeds = self._daemon.learned_speeds.of(self.cell_index)
         cell.speed_learner.inherit(speeds, now_ms=now_ms)
         self._daemon.metrics.count("ownership", "gained")
-        self._daemon.metrics.observe("takeover", now_ms - self._began_ms)
+        self._daemon.metrics.observe("takeover", now_ms - self._started_ms)
         self._log("ownership_gained").bind(
             records=len(records),
             jobs=len(cell.context.jobs),
             unlisted_workers=cell.registry.unlisted_count,
-            after_ms=round(now_ms - self._began_ms),
+            after_ms=round(now_ms - self._started_ms),
         ).info("serving the cell")
         self.on_links()
         self._daemon.owned_cells.on_serving()
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/order_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
@@ -6,10 +6,10 @@
 from thymefork_cells.workers.worker_poller import LEASE_MS
 from thymefork_net import steady_ms
 
-__all__ = ["OrderSender"]
+__all__ = ["CommandSender"]
 
 
-class OrderSender:
+class CommandSender:
     """Send what a cell orders, and hand the answers back to it."""
 
     def __init__(self, *, owner, client):
@@ -58,7 +58,7 @@
         if not self._owner.may_look():
             return False
         if refusal is Refusal.FENCED and not worker.is_over:
-            self._owner.lose("a worker has seen a newer owner")
+            self._owner.drop_ownership("a worker has seen a newer owner")
             return False
         return True
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_performer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
@@ -7,13 +7,13 @@
 from thymefork_cells import effects as fx
 from thymefork_net import steady_ms
 
-from ..capacity import Sheddable
+from ..capacity import SheddableWork
 from ..telemetry import ROUTINE_EVENTS
 
-__all__ = ["EffectPerformer"]
+__all__ = ["EffectExecutor"]
 
 
-class EffectPerformer:
+class EffectExecutor:
     """Answer, log, count, ask and order as a cell's effects say."""
 
     def __init__(
@@ -58,7 +58,7 @@
 
     @_perform.register
     def _note(self, effect: fx.Note):
-        if effect.event in ROUTINE_EVENTS and self._sheds(Sheddable.LOG_LINES):
+        if effect.event in ROUTINE_EVENTS and self._sheds(SheddableWork.LOG_LINES):
             self._metrics.count("owner_shed", "log_lines")
             return
         line = logger.bind(event=effect.event, cell=self._cell_index, **effect.fields)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_flight.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/in_flight_append.py
@@ -2,11 +2,11 @@
 
 from attrs import define
 
-__all__ = ["AppendFlight"]
+__all__ = ["InFlightAppend"]
 
 
 @define(kw_only=True, eq=False)
-class AppendFlight:
+class InFlightAppend:
     """Follow a batch and the calls that were made for it.
 
     `in_doubt` tells that a call of it may yet be carried out, `is_overdue` that it
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/turn_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/scheduling_loop.py
@@ -4,9 +4,9 @@
 
 from thymefork_net import steady_ms
 
-from ..capacity import Sheddable
+from ..capacity import SheddableWork
 
-__all__ = ["TurnLoop"]
+__all__ = ["SchedulingLoop"]
 
 # After an append that the store turned away, the next one follows this soon.
 STORE_AGAIN_MS = 60.0
@@ -23,7 +23,7 @@
 LINGER_MS = 30.0
 
 
-class TurnLoop:
+class SchedulingLoop:
     """Let a cell take its turns; perform its effects and store its records.
 
     Performing an effect may lose the cell and so end the loop. `worker_list_as_of_ms()` is
@@ -92,7 +92,7 @@
             raise
         if self._load_watch is not None:
             busy_ms = steady_ms() - now_ms
-            self._load_watch.load.on_turn(lag_ms=lag_ms, busy_ms=busy_ms)
+            self._load_watch.load.record_cycle(lag_ms=lag_ms, busy_ms=busy_ms)
         self._schedule(due_ms)
 
     def _decide(self, now_ms):
@@ -100,9 +100,9 @@
         self._cell.context.worker_list_as_of_ms = self._workers_known_ms()
         self._cell.context.advice_slots = self._advice_slots()
         if self._load_watch is not None:
-            sheds = self._load_watch.shedding.sheds
-            self._cell.context.defers_idle_polls = sheds(Sheddable.IDLE_LOOKS)
-            self._cell.context.defers_early_advice = sheds(Sheddable.EARLY_ADVICE)
+            sheds = self._load_watch.load_shedder.sheds
+            self._cell.context.defers_idle_polls = sheds(SheddableWork.IDLE_LOOKS)
+            self._cell.context.defers_early_advice = sheds(SheddableWork.EARLY_ADVICE)
         due_ms = self._cell.run_cycle(now_ms)
         self._perform_effects()
         if self._lingers(now_ms):
@@ -150,7 +150,7 @@
 
     def _on_stored(self, batch, sent_ms):
         if self._load_watch is not None and batch.records:
-            self._load_watch.load.on_append(steady_ms() - sent_ms)
+            self._load_watch.load.record_append(steady_ms() - sent_ms)
         self._cell.on_stored(batch)
         self._performer.perform(batch.effects)
         self.settle()
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -71,7 +71,7 @@
         if not self._daemon.owners:
             return
         message = self._heartbeat()
-        message.speeds = self._daemon.learned_speeds.take_untold()
+        message.speeds = self._daemon.learned_speeds.take_unannounced()
         new_member_links, self._new_member_links = self._new_member_links, set()
         for link in list(self._member_links):  # a link that breaks is removed
             link.send(
@@ -83,7 +83,7 @@
     def _heartbeat_with_all_speeds(self):
         """Return the first heartbeat to a member, with all learned speeds."""
         message = self._heartbeat()
-        message.speeds = self._daemon.learned_speeds.of_owners()
+        message.speeds = self._daemon.learned_speeds.of_owned_cells()
         return message
 
     def _heartbeat(self):
@@ -185,7 +185,7 @@
             self._member_links.add(link)
         else:
             self._member_links.discard(link)  # it may be on standby again
-        self._daemon.owned_cells.on_peer_owns(message.owned)
+        self._daemon.owned_cells.on_peer_ownership(message.owned)
         self._daemon.gateway.on_heartbeat(link, message)
         for call_id in message.withdrawn_calls or ():
             self._open_advice_calls.discard((link, call_id))
--- a/packages/thymefork-daemon/src/thymefork_daemon/standby.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/standby.py
@@ -28,7 +28,7 @@
     """Join at once, or in place of better members that are missing.
 
     `owner_tier()` is the best tier among the owners that are heard, None if unknown.
-    `rest_until_ms()` is until when an instance that handed over stays out. An instance
+    `cooldown_until_ms()` is until when an instance that handed over stays out. An instance
     that is stopping does not join.
     """
 
@@ -41,7 +41,7 @@
         layout,
         tier=Tier.LEAST,
         owner_tier=lambda: None,
-        rest_until_ms=lambda: 0.0,
+        cooldown_until_ms=lambda: 0.0,
         is_stopping=lambda: False,
     ):
         self._timers = timers
@@ -50,7 +50,7 @@
         self._layout = layout
         self._tier = tier
         self._owner_tier = owner_tier
-        self._rest_until_ms = rest_until_ms
+        self._rest_until_ms = cooldown_until_ms
         self._is_stopping = is_stopping
         self._jitter_ms = random.uniform(0.0, JOIN_JITTER_MS)
         self._missing_since_ms = None
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/fakes.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/fakes.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from thymefork_daemon import membership as membership_module
-from thymefork_daemon.capacity import OwnerLoad, Shedding, Tier
+from thymefork_daemon.capacity import LoadShedder, OwnerLoad, Tier
 
 
 class FakeTimers:
@@ -100,7 +100,7 @@
     load = OwnerLoad(link_mbps=0.0)
     return {
         "capacity": SimpleNamespace(tier=tier),
-        "owner_load": SimpleNamespace(load=load, shedding=Shedding(load=load)),
+        "owner_load": SimpleNamespace(load=load, load_shedder=LoadShedder(load=load)),
         "handover": SimpleNamespace(best_tier=lambda: None),
     }
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
@@ -134,7 +134,7 @@
             layout=self.layout,
             tier=tier,
             owner_tier=lambda: self.peers.member_statuses.owner_tier(),
-            rest_until_ms=lambda: self.handover.rest_until_ms,
+            cooldown_until_ms=lambda: self.handover.cooldown_until_ms,
             is_stopping=lambda: self.is_stopping,
         )
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advisers.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
@@ -3,7 +3,10 @@
 from types import SimpleNamespace
 
 from thymefork_cells.effects import RequestAdvice
-from thymefork_daemon.owner import Advisers, advisers as advisers_module
+from thymefork_daemon.owner import (
+    AdviceDispatcher,
+    advice_dispatcher as advisers_module,
+)
 
 from .fakes import FakeMetrics
 
@@ -42,7 +45,7 @@
     client=None,
     tell_withdrawn=lambda link, call_ids: None,
 ):
-    advisers = Advisers(
+    advisers = AdviceDispatcher(
         client=client or OwnClient(),
         timers=timers,
         metrics=FakeMetrics(),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_in_doubt.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
@@ -9,15 +9,15 @@
 import pytest
 
 from thymefork_cells.jobs.journal import Batch
-from thymefork_daemon.owner import append_pump
-from thymefork_daemon.owner.append_pump import AppendPump
+from thymefork_daemon.owner import append_pipeline
+from thymefork_daemon.owner.append_pipeline import AppendPipeline
 from thymefork_daemon.owner.cell_partition import CellPartition
 from thymefork_machines.store import AppendOutcome, AppendResult
 
 from .fakes import FakeMetrics, FakeStore
 from .sequenced_store import FAULTS, SequencedStore, jittered
 
-CLOCK_MODULES = (append_pump,)
+CLOCK_MODULES = (append_pipeline,)
 SLOW_ANSWER_MS = 300.0
 CASES = 400
 FAULTS_UNTIL_MS = 6_000.0
@@ -31,13 +31,13 @@
         self.store = store
         self.metrics = FakeMetrics()
         self.sent, self.stored, self.back, self.lost = [], [], [], []
-        self.pump = AppendPump(
+        self.pump = AppendPipeline(
             partition=CellPartition(store=store, cell=0, partition=7, epoch=5),
             timers=timers,
             metrics=self.metrics,
             last_sequence=0,
             may_write=may_write,
-            on_lost=self.lost.append,
+            on_ownership_lost=self.lost.append,
         )
 
     def send(self, *keys):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_overlapping.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_overlap.py
@@ -11,14 +11,14 @@
 import pytest
 
 from thymefork_cells.jobs.journal import Batch
-from thymefork_daemon.owner import append_pump, append_window
-from thymefork_daemon.owner.append_pump import AppendPump
+from thymefork_daemon.owner import append_pipeline, append_window
+from thymefork_daemon.owner.append_pipeline import AppendPipeline
 from thymefork_daemon.owner.cell_partition import CellPartition
 
 from .fakes import FakeMetrics
 from .sequenced_store import SequencedStore, jittered
 
-CLOCK_MODULES = (append_pump,)
+CLOCK_MODULES = (append_pipeline,)
 TURN_MS = 4.0
 DECISIONS_PER_S = 60
 LOAD_MS = 6_000.0
@@ -33,13 +33,13 @@
         self._timers, self._rng = timers, rng
         self.waits_ms = []
         self._waiting = []
-        self.pump = AppendPump(
+        self.pump = AppendPipeline(
             partition=CellPartition(store=store, cell=0, partition=7, epoch=5),
             timers=timers,
             metrics=FakeMetrics(),
             last_sequence=0,
             may_write=lambda: True,
-            on_lost=lambda reason: pytest.fail(reason),
+            on_ownership_lost=lambda reason: pytest.fail(reason),
         )
         self._until_ms = timers.now_ms + LOAD_MS
         self._decide()
@@ -105,7 +105,7 @@
         }
         alone_ms, _ = play(timers, monkeypatch, ONE_AT_A_TIME, **load)
         overlapping_ms, store = play(timers, monkeypatch, AS_MANY_AS_GAIN, **load)
-        assert store.max_open <= append_pump.MOST_CALLS_OPEN
+        assert store.max_open <= append_pipeline.MOST_CALLS_OPEN
         shares.append(overlapping_ms / alone_ms)
     assert mean(shares) <= most_share
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_pump.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_pipeline.py
@@ -3,26 +3,26 @@
 import pytest
 
 from thymefork_cells.jobs.journal import Batch
-from thymefork_daemon.owner import append_pump
-from thymefork_daemon.owner.append_pump import AppendPump
+from thymefork_daemon.owner import append_pipeline
+from thymefork_daemon.owner.append_pipeline import AppendPipeline
 from thymefork_daemon.owner.cell_partition import CellPartition
 from thymefork_machines.store import AppendOutcome, AppendResult
 
 from .fakes import FakeMetrics, FakeStore
 
-CLOCK_MODULES = (append_pump,)
+CLOCK_MODULES = (append_pipeline,)
 
 
 @pytest.fixture
 def pump(timers):
     store = FakeStore()
-    made = AppendPump(
+    made = AppendPipeline(
         partition=CellPartition(store=store, cell=0, partition=7, epoch=5),
         timers=timers,
         metrics=FakeMetrics(),
         last_sequence=0,
         may_write=lambda: True,
-        on_lost=lambda reason: made.lost.append(reason),
+        on_ownership_lost=lambda reason: made.lost.append(reason),
     )
     made.lost, made.store = [], store
     return made
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -23,7 +23,7 @@
 from thymefork_daemon.owner import (
     cell_owner as cell_owner_module,
     request_handler as request_handler_module,
-    turn_loop as turn_loop_module,
+    scheduling_loop as turn_loop_module,
 )
 
 from .fakes import FakeMetrics, capacity_attributes
@@ -169,7 +169,7 @@
     hand_in(owner, NEW_JOB, replies)
     hand_in(owner, NEW_JOB, replies, kind="cancel")
     assert not replies
-    owner.lose("the test says so")
+    owner.drop_ownership("the test says so")
     assert [reply.outcome for reply in replies] == [Outcome.NOT_OWNER] * 2
     assert ("refusals", "given_back") in daemon.metrics.counts
 
@@ -185,7 +185,7 @@
     hand_in(owner, NEW_JOB, replies)  # the same again waits for that append, too
     hand_in(owner, SECOND_JOB, later)
     timers.run(10)
-    owner.lose("the test says so")
+    owner.drop_ownership("the test says so")
     assert not replies
     assert [reply.outcome for reply in later] == [Outcome.NOT_OWNER]
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_at_a_slow_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
@@ -14,15 +14,15 @@
 from thymefork_cells.jobs.codec import JOB_KEY, PROGRESS_KEY
 from thymefork_cells.specs import Bounds, Configuration, JobSpec, StepSpec
 from thymefork_cells.state import JobState
-from thymefork_daemon.owner import append_pump, turn_loop
-from thymefork_daemon.owner.append_pump import AppendPump
+from thymefork_daemon.owner import append_pipeline, scheduling_loop
+from thymefork_daemon.owner.append_pipeline import AppendPipeline
 from thymefork_daemon.owner.cell_partition import CellPartition
-from thymefork_daemon.owner.turn_loop import TurnLoop
+from thymefork_daemon.owner.scheduling_loop import SchedulingLoop
 
 from .fakes import FakeMetrics
 from .sequenced_store import FAULTS, SequencedStore, jittered
 
-CLOCK_MODULES = (append_pump, turn_loop)
+CLOCK_MODULES = (append_pipeline, scheduling_loop)
 CASES = 60
 REQUESTS_MS = 5_000.0
 OUTAGE_MS = 400.0
@@ -56,15 +56,15 @@
         )
         self.outcomes = {}
         self.lost = []
-        self.pump = AppendPump(
+        self.pump = AppendPipeline(
             partition=CellPartition(store=self.store, cell=0, partition=7, epoch=1),
             timers=timers,
             metrics=FakeMetrics(),
             last_sequence=0,
             may_write=lambda: True,
-            on_lost=self.lost.append,
+            on_ownership_lost=self.lost.append,
         )
-        self.loop = TurnLoop(
+        self.loop = SchedulingLoop(
             cell=self.cell,
             ownership=SimpleNamespace(is_renewed=lambda: True),
             pump=self.pump,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_order_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
@@ -7,7 +7,7 @@
 from thymefork_cells import CommandAnswer, Refusal, effects as fx
 from thymefork_cells.specs import WorkerEntry
 from thymefork_cells.state import Run, RunState, Worker
-from thymefork_daemon.owner.order_sender import OrderSender
+from thymefork_daemon.owner.command_sender import CommandSender
 
 EPOCH = 3
 
@@ -42,7 +42,7 @@
         cell=cell,
         lost=lost,
         heard=heard,
-        lose=lost.append,
+        drop_ownership=lost.append,
         may_look=lambda: True,
         may_renew=lambda: True,
         may_order=lambda: True,
@@ -59,7 +59,7 @@
 
 def send_stop(owner, client, worker):
     run = SimpleNamespace(worker=worker, key=("j.0.0.0", 1))
-    OrderSender(owner=owner, client=client).send(fx.StopRun(run=run))
+    CommandSender(owner=owner, client=client).send(fx.StopRun(run=run))
     return client.stops[-1]
 
 
@@ -96,7 +96,7 @@
     worker.clock_offset_ms = 0.0
     owner.cell.commands = SimpleNamespace(may_start=lambda run, now_ms: True)
     owner.cell.poller = SimpleNamespace(record_lease=lambda *row, now_ms: None)
-    OrderSender(owner=owner, client=client).send(fx.StartRun(run=run))
+    CommandSender(owner=owner, client=client).send(fx.StartRun(run=run))
     (start,) = client.starts
     assert start["wanted"]()
     run.state = state
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from thymefork_daemon.owner import CellOwner, advisers as advisers_module
+from thymefork_daemon.owner import CellOwner, advice_dispatcher as advisers_module
 
 from .fakes import FakeMetrics, FakeStore, capacity_attributes
-from .test_advisers import FakeLink, OwnClient, long_call, reply_to
+from .test_advice_dispatcher import FakeLink, OwnClient, long_call, reply_to
 
 CLOCK_MODULES = (advisers_module,)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
@@ -54,7 +54,7 @@
 def run_until_it_leaves(group, instance):
     """Run until an instance has decided to leave, and waits for what is not stored."""
     for _ in range(10_000 // STEP_MS):
-        if instance.handover.is_under_way:
+        if instance.handover.is_in_progress:
             return
         group.run(STEP_MS)
     pytest.fail("it does not begin to leave")
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_rule.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
@@ -7,10 +7,10 @@
 import pytest
 
 from thymefork_daemon.capacity import (
-    HandoverRule,
+    HandoverPolicy,
+    LocalStatus,
     MemberStatus,
     OwnerLoad,
-    OwnStatus,
     Tier,
 )
 
@@ -30,14 +30,14 @@
         owned=frozenset() if cell is None else frozenset({cell}),
         join_ms=6.0,
         heard_ms=heard_ms,
-        well_since_ms=0.0,
+        healthy_since_ms=0.0,
     )
 
 
-def own_status(cell, *, value, cells=2):
+def local_status(cell, *, value, cells=2):
     load = OwnerLoad(link_mbps=0.0)
     load.value, load.is_overloaded = value, True
-    return OwnStatus(
+    return LocalStatus(
         cells=cells,
         owned=frozenset({cell}),
         may_hand_over=True,
@@ -48,7 +48,7 @@
 
 def leaving_moments(loads):
     """Return when each of two owners leaves; each hears the other's last beat."""
-    rules = [HandoverRule(tier=Tier.FULL, address=name) for name in "ab"]
+    rules = [HandoverPolicy(tier=Tier.FULL, address=name) for name in "ab"]
     left_ms = [None, None]
     for now_ms in range(0, 10_000, STEP_MS):
         beat_ms = float(now_ms // 200 * 200)
@@ -64,9 +64,9 @@
                     heard_ms=beat_ms,
                 ),
             ]
-            own = own_status(n, value=loads[n])
+            local = local_status(n, value=loads[n])
             if left_ms[n] is None and rule.reason(
-                float(now_ms), own=own, statuses=statuses
+                float(now_ms), local=local, statuses=statuses
             ):
                 left_ms[n] = now_ms
     return left_ms
@@ -81,25 +81,25 @@
     assert left_ms[1 - first] is None
 
 
-def reason_after_a_while(own, statuses_at):
-    rule = HandoverRule(tier=Tier.FULL, address="a")
+def reason_after_a_while(local, statuses_at):
+    rule = HandoverPolicy(tier=Tier.FULL, address="a")
     for now_ms in range(0, 10_000, STEP_MS):
-        reason = rule.reason(float(now_ms), own=own, statuses=statuses_at(now_ms))
+        reason = rule.reason(float(now_ms), local=local, statuses=statuses_at(now_ms))
         if reason is not None:
             return reason
     return None
 
 
 def test_nobody_leaves_while_another_cell_is_on_its_way():
-    own = own_status(0, value=1.5)
-    assert reason_after_a_while(own, lambda now: [status("c", heard_ms=now)]) is None
+    local = local_status(0, value=1.5)
+    assert reason_after_a_while(local, lambda now: [status("c", heard_ms=now)]) is None
 
 
 def test_a_lone_overloaded_owner_leaves_for_who_owns_nothing():
-    own = own_status(0, value=1.5)
+    local = local_status(0, value=1.5)
     assert (
         reason_after_a_while(
-            own,
+            local,
             lambda now: [
                 status("b", cell=1, load_percent=40, heard_ms=now),
                 status("c", heard_ms=now),
@@ -111,13 +111,19 @@
 
 def test_a_cell_taken_again_after_a_handover_is_held_for_a_while():
     """The rule was not asked meanwhile, so what it followed before does not hold."""
-    rule = HandoverRule(tier=Tier.FULL, address="a")
-    own = own_status(0, value=1.5, cells=1)
+    rule = HandoverPolicy(tier=Tier.FULL, address="a")
+    local = local_status(0, value=1.5, cells=1)
     now_ms = 0.0
-    while rule.reason(now_ms, own=own, statuses=[status("b", heard_ms=now_ms)]) is None:
+    while (
+        rule.reason(now_ms, local=local, statuses=[status("b", heard_ms=now_ms)])
+        is None
+    ):
         now_ms += STEP_MS
     rule.on_left(now_ms)
-    back_ms = now_ms = rule.rest_until_ms + STEP_MS
-    while rule.reason(now_ms, own=own, statuses=[status("b", heard_ms=now_ms)]) is None:
+    back_ms = now_ms = rule.cooldown_until_ms + STEP_MS
+    while (
+        rule.reason(now_ms, local=local, statuses=[status("b", heard_ms=now_ms)])
+        is None
+    ):
         now_ms += STEP_MS
     assert now_ms - back_ms >= 5_000.0
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_first.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from thymefork_daemon import owner_first as owner_first_module
-from thymefork_daemon.owner_first import OwnerFirst
+from thymefork_daemon import join_deferral as owner_first_module
+from thymefork_daemon.join_deferral import JoinDeferral
 
 CLOCK_MODULES = (owner_first_module,)
 
@@ -26,26 +26,26 @@
 
 
 def test_an_instance_waits_for_an_owner_that_waits_for_the_store(daemon, timers):
-    assert OwnerFirst(daemon=daemon).waits()
+    assert JoinDeferral(daemon=daemon).waits()
 
 
 def test_an_instance_joins_once_the_owner_has(daemon, timers):
     daemon.without.clear()
-    assert not OwnerFirst(daemon=daemon).waits()
+    assert not JoinDeferral(daemon=daemon).waits()
 
 
 def test_an_owner_does_not_wait(daemon, timers):
     daemon.owners = {0: object()}
-    assert not OwnerFirst(daemon=daemon).waits()
+    assert not JoinDeferral(daemon=daemon).waits()
 
 
 def test_nobody_waits_for_an_owner_that_is_not_heard(daemon, timers):
     daemon.readiness.hears_all_owners = False
-    assert not OwnerFirst(daemon=daemon).waits()
+    assert not JoinDeferral(daemon=daemon).waits()
 
 
 def test_nobody_waits_long_for_an_owner_that_is_cut_off_by_itself(daemon, timers):
-    first = OwnerFirst(daemon=daemon)
+    first = JoinDeferral(daemon=daemon)
     daemon.store_readable_since_ms = timers.now_ms
     timers.run(300)
     assert first.waits()
@@ -70,7 +70,7 @@
         daemon.layout.cells = 0
         daemon.readiness.hears_all_owners = False
         daemon.membership = SimpleNamespace(in_group=False)
-        self._first = OwnerFirst(daemon=daemon)
+        self._first = JoinDeferral(daemon=daemon)
 
     def read_is_answered(self):
         self.daemon.store_readable_since_ms = self.timers.now_ms
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
@@ -7,7 +7,7 @@
 from thymefork_cells import LearnedSpeed
 from thymefork_cells.estimates import ImageDurations, SpeedLearner, WorkerSpeeds
 from thymefork_daemon import learned_speeds as module
-from thymefork_daemon.learned_speeds import KEPT_MS, LearnedSpeeds
+from thymefork_daemon.learned_speeds import RETENTION_MS, LearnedSpeeds
 from thymefork_net.peers import Heartbeat, MachineSpeed, OwnedCell, SpeedsLearned
 from thymefork_net.peers.envelope import decode, encode
 
@@ -42,7 +42,7 @@
     here = LearnedSpeeds(daemon=daemon)
     here.tell(CELL, 3, [speed("m1", 0.357), speed("m2", -0.531)])
     there = LearnedSpeeds(daemon=daemon)
-    for message in heard(here.take_untold()):
+    for message in heard(here.take_unannounced()):
         there.on_message(message)
     assert there.of(CELL) == here.of(CELL)
     assert there.of(CELL)[1].log_slowness == pytest.approx(-0.531)
@@ -52,8 +52,8 @@
 def test_news_is_told_once(now, daemon):
     here = LearnedSpeeds(daemon=daemon)
     here.tell(CELL, 3, [speed("m1", 0.357)])
-    assert here.take_untold()
-    assert here.take_untold() is None
+    assert here.take_unannounced()
+    assert here.take_unannounced() is None
 
 
 def test_an_owner_keeps_its_own_beside_the_word_of_an_earlier_one(now, daemon):
@@ -61,7 +61,7 @@
     here.tell(CELL, 3, [speed("m1", 0.4)])
     there = LearnedSpeeds(daemon=SimpleNamespace(**vars(daemon)))
     there._daemon.owners = {CELL: SimpleNamespace(epoch=4)}
-    for message in here.take_untold():
+    for message in here.take_unannounced():
         there.on_message(message)
     assert there.of(CELL) == []
 
@@ -97,12 +97,14 @@
             for speeds in self._told:
                 self._here.tell(CELL, 1, speeds)
             self._told.clear()
-            for message in heard(self._here.take_untold()) or ():
+            for message in heard(self._here.take_unannounced()) or ():
                 for heir in heirs:
                     heir.on_message(message)
 
 
-@pytest.mark.parametrize("after_ms", [KEPT_MS - 1_000.0, KEPT_MS + 60_000.0, 3e6])
+@pytest.mark.parametrize(
+    "after_ms", [RETENTION_MS - 1_000.0, RETENTION_MS + 60_000.0, 3e6]
+)
 def test_an_heir_knows_speeds_that_have_not_changed_for_long(now, daemon, after_ms):
     heir = LearnedSpeeds(daemon=daemon)
     Owner(now).serve(after_ms, [heir])
@@ -118,11 +120,11 @@
 
 def test_a_member_that_comes_is_told_all_of_the_cells_owned_here(now, daemon):
     here = LearnedSpeeds(daemon=daemon)
-    assert here.of_owners() is None
+    assert here.of_owned_cells() is None
     here.tell(CELL, 3, [speed("m1", 0.357)])
     here.tell(CELL + 1, 3, [speed("m2", 0.357)])
     daemon.owners = {CELL: SimpleNamespace(epoch=3)}
-    (message,) = heard(here.of_owners())
+    (message,) = heard(here.of_owned_cells())
     assert (message.cell, message.epoch) == (CELL, 3)
     assert [row.machine for row in message.speeds] == ["m1"]
 
@@ -139,7 +141,7 @@
 def test_what_is_old_is_forgotten(now, daemon):
     here = LearnedSpeeds(daemon=daemon)
     here.tell(CELL, 3, [speed("m1", 0.4)])
-    now.ms += KEPT_MS + 1.0
+    now.ms += RETENTION_MS + 1.0
     assert here.of(CELL) == []
 
 
@@ -156,8 +158,8 @@
     without = Heartbeat(owned=owned, config_version=1, leaving=False)
     here = LearnedSpeeds(daemon=daemon)
     here.tell(CELL, 3, [speed("m1", 0.4)])
-    untold = here.take_untold()
-    beat = Heartbeat(owned=owned, config_version=1, leaving=False, speeds=untold)
+    unannounced = here.take_unannounced()
+    beat = Heartbeat(owned=owned, config_version=1, leaving=False, speeds=unannounced)
     read = decode(encode(beat), peer="edge-1")
     read.speeds = None
     assert read == without
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
@@ -85,7 +85,7 @@
         owner_addresses={1: PEER},
         settings=SimpleNamespace(peer=OWN),
         membership=SimpleNamespace(in_group=False, join_now=lambda: None),
-        owned_cells=SimpleNamespace(on_peer_owns=lambda owned: None),
+        owned_cells=SimpleNamespace(on_peer_ownership=lambda owned: None),
         gateway=SimpleNamespace(on_heartbeat=lambda link, message: None),
         links=SimpleNamespace(to=lambda address: link),
         directory=SimpleNamespace(
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_member_statuses.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_member_statuses.py
@@ -33,7 +33,7 @@
 
 
 def is_healthy(statuses_by_peer, timers):
-    return statuses_by_peer.statuses[0].is_well_for(900.0, timers.now_ms)
+    return statuses_by_peer.statuses[0].is_healthy_for(900.0, timers.now_ms)
 
 
 def test_member_is_healthy_after_repeated_heartbeats(statuses_by_peer, timers):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
@@ -182,7 +182,7 @@
         gateway=SimpleNamespace(on_link_broken=lambda link: None),
         metrics=FakeMetrics(),
         **capacity_attributes(),
-        learned_speeds=SimpleNamespace(take_untold=lambda: None),
+        learned_speeds=SimpleNamespace(take_unannounced=lambda: None),
     )
     dispatcher = PeerDispatcher(daemon=daemon)
     for link in links:
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -126,7 +126,7 @@
     join_times_ms = []
     daemon.membership.join_now = lambda: join_times_ms.append(1)
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
     daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
     dispatcher = daemon.peers = PeerDispatcher(daemon=daemon)
@@ -184,7 +184,7 @@
 def make_advising_daemon(timers):
     daemon = make_daemon(timers, in_group=True, opened=[])
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
     daemon.advice = AdviceQueue()
     daemon.peers = PeerDispatcher(daemon=daemon)
@@ -231,11 +231,11 @@
     """Speeds are announced rarely, and the member may become the next owner."""
     daemon = make_daemon(timers, in_group=False, opened=[])
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
     daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
     daemon.learned_speeds = SimpleNamespace(
-        take_untold=lambda: None, of_owners=lambda: ["all"]
+        take_unannounced=lambda: None, of_owned_cells=lambda: ["all"]
     )
     dispatcher = PeerDispatcher(daemon=daemon)
     daemon.owners = {0: SimpleNamespace(epoch=1, is_serving=True)}
@@ -262,7 +262,7 @@
     join_times_ms = []
     daemon.membership.join_now = lambda: join_times_ms.append(timers.now_ms)
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
     daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
     dispatcher = PeerDispatcher(daemon=daemon)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_turn_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_scheduling_loop.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from thymefork_daemon.capacity import OwnerLoad, Shedding
-from thymefork_daemon.owner import turn_loop
-from thymefork_daemon.owner.turn_loop import (
+from thymefork_daemon.capacity import LoadShedder, OwnerLoad
+from thymefork_daemon.owner import scheduling_loop
+from thymefork_daemon.owner.scheduling_loop import (
     LINGER_MS,
     STORE_AGAIN_MS,
     TURN_MS,
-    TurnLoop,
+    SchedulingLoop,
 )
 
-CLOCK_MODULES = (turn_loop,)
+CLOCK_MODULES = (scheduling_loop,)
 FAR_MS = 1_000.0
 
 
@@ -74,7 +74,7 @@
 def parts(timers):
     cell, pump, performed = FakeCell(), FakePump(), []
     ownership = SimpleNamespace(is_renewed=lambda: True)
-    loop = TurnLoop(
+    loop = SchedulingLoop(
         cell=cell,
         ownership=ownership,
         pump=pump,
@@ -234,19 +234,19 @@
     """A turn that is 300 ms late and takes 50 is the owner's to see."""
     load = OwnerLoad(link_mbps=0.0)
     seen = []
-    load.on_turn = lambda **span: seen.append(span)
+    load.record_cycle = lambda **span: seen.append(span)
     load.value = 0.7
-    shedding = Shedding(load=load)
-    shedding.follow()
+    load_shedder = LoadShedder(load=load)
+    load_shedder.update()
     cell, late_ms = FakeCell(), 300.0
-    loop = TurnLoop(
+    loop = SchedulingLoop(
         cell=cell,
         ownership=SimpleNamespace(is_renewed=lambda: True),
         pump=FakePump(),
         performer=SimpleNamespace(perform=lambda effects: None),
         timers=timers,
         worker_list_as_of_ms=lambda: 0.0,
-        load_watch=SimpleNamespace(load=load, shedding=shedding),
+        load_watch=SimpleNamespace(load=load, load_shedder=load_shedder),
     )
     loop.run_cycle()
     assert cell.context.defers_idle_polls and not cell.context.defers_early_advice
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
@@ -9,8 +9,8 @@
 from loguru import logger
 
 from thymefork_cells import effects as fx
-from thymefork_daemon.capacity import Sheddable
-from thymefork_daemon.owner.effect_performer import EffectPerformer
+from thymefork_daemon.capacity import SheddableWork
+from thymefork_daemon.owner.effect_executor import EffectExecutor
 from thymefork_daemon.telemetry import LogRateLimiter, Metrics
 from thymefork_daemon.telemetry.logs import MAX_BUFFERED_BYTES, LogWriter
 
@@ -120,7 +120,7 @@
 
 
 def test_failing_effect_does_not_stop_the_others():
-    performer = EffectPerformer(
+    performer = EffectExecutor(
         cell_index=0,
         metrics=Metrics(),
         advisers=None,
@@ -152,7 +152,7 @@
 
 def test_overloaded_owner_suppresses_routine_lines_only(writer, pipe):
     metrics = Metrics()
-    performer = EffectPerformer(
+    performer = EffectExecutor(
         cell_index=0,
         metrics=metrics,
         advisers=None,
@@ -160,7 +160,7 @@
         on_ends_stored=None,
         tell_ends=None,
         tell_speeds=None,
-        sheds=lambda kind: kind is Sheddable.LOG_LINES,
+        sheds=lambda kind: kind is SheddableWork.LOG_LINES,
     )
     replies = []
     performer.perform(
