--- a/packages/thymefork-daemon/src/thymefork_daemon/standby.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/standby.py
@@ -11,7 +11,7 @@
 __all__ = ["Standby"]
 
 # Time for instances of the best tier to return after all instances were lost.
-BETTER_RETURN_MS = 4_000.0
+BETTER_TIER_RETURN_MS = 4_000.0
 # Extra time for each tier in between to join and to be listed.
 NEXT_TIER_MS = 1_500.0
 # Members where no instance is above the least tier: an owner, and two that can detect
@@ -113,7 +113,7 @@
         if not better_tiers:
             return self._jitter_ms
         between_ms = (better_tiers - 1) * NEXT_TIER_MS
-        return BETTER_RETURN_MS + between_ms + self._jitter_ms
+        return BETTER_TIER_RETURN_MS + between_ms + self._jitter_ms
 
     def _join(self, reason):
         line = logger.bind(
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
@@ -15,7 +15,7 @@
     standby as standby_module,
 )
 from thymefork_daemon.capacity import Tier
-from thymefork_daemon.standby import BETTER_RETURN_MS, JOIN_JITTER_MS, NEXT_TIER_MS
+from thymefork_daemon.standby import BETTER_TIER_RETURN_MS, JOIN_JITTER_MS, NEXT_TIER_MS
 from thymefork_net.peers import Heartbeat
 
 from .simulated_group import STEP_MS, SimulatedGroup
@@ -68,7 +68,7 @@
 
 def test_the_next_tier_stands_in_within_the_standby_s_time(group):
     group.lose(group.of(Tier.FULL))
-    group.run(int(BETTER_RETURN_MS) - 100)
+    group.run(int(BETTER_TIER_RETURN_MS) - 100)
     assert not group.members
     group.run(int(JOIN_JITTER_MS) + 300)
     assert group.owner.tier is Tier.PARTIAL
@@ -78,7 +78,7 @@
 
 def test_the_least_stand_in_where_nobody_else_is_left(group):
     group.lose(group.of(Tier.FULL) + group.of(Tier.PARTIAL))
-    group.run(int(BETTER_RETURN_MS + NEXT_TIER_MS + JOIN_JITTER_MS) + 300)
+    group.run(int(BETTER_TIER_RETURN_MS + NEXT_TIER_MS + JOIN_JITTER_MS) + 300)
     assert group.owner.tier is Tier.LEAST
 
 
