--- a/bench/experiments.py
+++ b/bench/experiments.py
@@ -65,7 +65,7 @@
 # What a variant changes: module or class, name and value.
 VARIANTS = {
     "as it is": (),
-    "no shares": ((job_rate_shares.Shares, "admits", lambda *args: True),),
+    "no shares": ((job_rate_shares.JobRateShares, "admits", lambda *args: True),),
     "by jobs a second alone": (
         (step_order.StepOrder, "_by_use", share_orders.jobs_alone),
     ),
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/borrowed_account.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/borrowed_account.py
@@ -19,7 +19,7 @@
     is_covering: bool = False
     rounds: int = 0
     due_ms: float = 0.0
-    wait_ms: float = 0.0
+    retry_interval_ms: float = 0.0
     requested: LimitParts = LimitParts()
     requested_ms: float = float("-inf")
     backoff_until_ms: float = 0.0
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_requester.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_requester.py
@@ -113,10 +113,12 @@
             self._asking.add(name)
             account.rounds = 0
         if now_ms - account.requested_ms > LONGEST_ASK_AGAIN_MS:
-            account.wait_ms = ASK_AGAIN_MS
+            account.retry_interval_ms = ASK_AGAIN_MS
         account.requested, account.requested_ms = least, now_ms
-        account.due_ms = now_ms + account.wait_ms
-        account.wait_ms = min(LONGEST_ASK_AGAIN_MS, 2 * account.wait_ms)
+        account.due_ms = now_ms + account.retry_interval_ms
+        account.retry_interval_ms = min(
+            LONGEST_ASK_AGAIN_MS, 2 * account.retry_interval_ms
+        )
         account.rounds += 1
         self._send_all(name, account, least, most, since_epoch_ms)
         reason = "asked" if since_epoch_ms else "asked_for_runs"
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/worker_speeds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/worker_speeds.py
@@ -7,7 +7,7 @@
 
 from attrs import define
 
-from ..state.worker import FAR_SLOWER
+from ..state.worker import FAR_SLOWER_FACTOR
 from .duration_variance import RUN_VARIANCE
 from .log_estimate import LogEstimate
 
@@ -273,7 +273,7 @@
 
 
 def _kind(log_slowness):
-    if log_slowness > log(FAR_SLOWER):
+    if log_slowness > log(FAR_SLOWER_FACTOR):
         return "far_slower"
     if log_slowness > NOTABLE:
         return "slow"
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/unstored_ends.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/unstored_ends.py
@@ -66,9 +66,9 @@
             (rows[0].heard_ms for rows in self._heard.values()), default=now_ms
         )
         if now_ms - first_ms > ANNOUNCE_AFTER_MS:
-            self.tell(now_ms)
+            self.announce(now_ms)
 
-    def tell(self, now_ms):
+    def announce(self, now_ms):
         """Tell the ends that were not told yet."""
         untold, self._untold = list(self._untold.values()), {}
         if untold:
--- a/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
@@ -77,9 +77,9 @@
         if not _has_to_run_apart([task], now_ms):
             return
         until_ms = now_ms + clearing_time_ms(task)
-        if worker.trial is not None and worker.trial.job is task.step.job:
-            until_ms = max(until_ms, worker.trial.until_ms)
-        worker.trial = Isolation(job=task.step.job, until_ms=until_ms)
+        if worker.isolation is not None and worker.isolation.job is task.step.job:
+            until_ms = max(until_ms, worker.isolation.until_ms)
+        worker.isolation = Isolation(job=task.step.job, until_ms=until_ms)
 
     @staticmethod
     def rate(step, worker):
--- a/packages/thymefork-cells/src/thymefork_cells/placement/placement_log.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placement_log.py
@@ -15,7 +15,7 @@
     _context = field()
     _advice = field()
     _quotas = field()
-    _used_shares = field()
+    _dominant_shares = field()
 
     def log_starts(self, step, starts, wanted, now_ms):
         """Log one line for all tasks of a step that start together."""
@@ -41,17 +41,17 @@
     def _turn(self, step, count, now_ms):
         """Count starts by what gave a step its turn; return that for the log."""
         name = step.job.account_name
-        if not self._used_shares.tracks(name):
+        if not self._dominant_shares.tracks(name):
             return {}
         turn = "beyond_share" if step.job.is_beyond_share else "within_share"
-        if self._used_shares.is_starved(name, now_ms):
+        if self._dominant_shares.is_starved(name, now_ms):
             turn = "stood_still"
         self._context.count("starts_by_share", turn, count)
         return {"turn": turn, "account_uses": self._account_uses(step)}
 
     def _account_uses(self, step):
         """Return the part of the room that a step's account used lately."""
-        return round(self._used_shares.used(step.job.account_name), 3)
+        return round(self._dominant_shares.used(step.job.account_name), 3)
 
     def count_speeds(self, fit, starts, workers):
         """Count starts by whether a step needs fast workers and has got one."""
--- a/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
@@ -46,12 +46,15 @@
         self._trials = crash_isolation
         self._preemptor = preemptor
         self._reservations = reservations
-        used_shares = DominantShares(context=context)
+        dominant_shares = DominantShares(context=context)
         self._order = StepOrder(
-            context=context, durations=durations, used_shares=used_shares
+            context=context, durations=durations, dominant_shares=dominant_shares
         )
         self._notes = PlacementLog(
-            context=context, advice=advice, quotas=quotas, used_shares=used_shares
+            context=context,
+            advice=advice,
+            quotas=quotas,
+            dominant_shares=dominant_shares,
         )
         self._advice = advice
         self._risk = LatenessRisk()
--- a/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
@@ -21,12 +21,12 @@
 
     _context = field()
     _durations = field()
-    _used_shares = field()
+    _dominant_shares = field()
 
     def steps(self, now_ms):
         """Return the steps whose turn has come or is still to come, the first first."""
         jobs = self._context.live_jobs.values()
-        self._used_shares.review(jobs, now_ms)
+        self._dominant_shares.review(jobs, now_ms)
         ranked = []
         for job in jobs:
             queue = self._context.queue(job)
@@ -44,21 +44,21 @@
 
     def _by_use(self, steps, now_ms):
         """Return the steps with what is beyond the shares by what accounts use."""
-        if not self._used_shares.tracks_any:
+        if not self._dominant_shares.tracks_any:
             return steps
         wanting = {step.job.account_name for step in steps if step.ready}
-        self._used_shares.record_waiting(wanting, now_ms)
+        self._dominant_shares.record_waiting(wanting, now_ms)
         within = [step for step in steps if not step.job.is_beyond_share]
         beyond = steps[len(within) :]
         if beyond:
-            beyond = self._used_shares.fair_order(beyond)
-        return self._standing_first(within + beyond, now_ms)
+            beyond = self._dominant_shares.fair_order(beyond)
+        return self._starved_first(within + beyond, now_ms)
 
     def is_starved(self, step, now_ms):
         """Tell whether a step's account has wanted room for long and held none."""
-        return self._used_shares.is_starved(step.job.account_name, now_ms)
+        return self._dominant_shares.is_starved(step.job.account_name, now_ms)
 
-    def _standing_first(self, steps, now_ms):
+    def _starved_first(self, steps, now_ms):
         """Put the first step of each account that stands still before all others."""
         standing = {}
         for step in steps:
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -13,7 +13,7 @@
 SILENT_MS = 100.0
 # Sound workers of one service differ by two to three times; one that is this many times
 # slower than the average is sick, also if it is always so.
-FAR_SLOWER = 4.0
+FAR_SLOWER_FACTOR = 4.0
 
 
 @define(kw_only=True, eq=False)
@@ -78,13 +78,13 @@
     acknowledged_end: int = 0
     outdated_reports_in_row: int = 0
     health: WorkerHealth = field(factory=lambda: WorkerHealth())
-    trial: object = None
+    isolation: object = None
     slowness: float = 1.0
 
     @property
     def is_far_slower(self):
         """Tell whether it is slower, for good, than sound workers differ by."""
-        return self.slowness > FAR_SLOWER
+        return self.slowness > FAR_SLOWER_FACTOR
 
     @property
     def is_least_preferred(self):
@@ -150,10 +150,10 @@
 
     def _end_trial(self, job):
         """End the trial of a job's tasks once none of them is left here."""
-        if self.trial is None or self.trial.job is not job:
+        if self.isolation is None or self.isolation.job is not job:
             return
         if all(run.task.step.job is not job for run in self.runs.values()):
-            self.trial = None
+            self.isolation = None
 
     def runs_of_others(self, job):
         """Return the runs here that are of other jobs."""
@@ -161,8 +161,8 @@
 
     def admits(self, job, now_ms):
         """Tell whether a job's tasks may start beside what is tried here."""
-        trial = self.trial
-        return trial is None or trial.job is job or now_ms >= trial.until_ms
+        isolation = self.isolation
+        return isolation is None or isolation.job is job or now_ms >= isolation.until_ms
 
     @property
     def free_cpu_milli(self):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/command_transport.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/command_transport.py
@@ -7,8 +7,8 @@
 
 __all__ = ["CommandTransport"]
 
-ORDER_MS = 3.0
-SILENCE_MS = 300.0
+COMMAND_LATENCY_MS = 3.0
+COMMAND_TIMEOUT_MS = 300.0
 
 
 class CommandTransport:
@@ -33,15 +33,15 @@
         fence = run.worker.fence(cell.context.epoch)
         start = (run.task.name, run.run_id, fence, deadline_ms)
         if worker.is_replaced:
-            yield self._harness.env.timeout(ORDER_MS)
+            yield self._harness.env.timeout(COMMAND_LATENCY_MS)
             answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
         elif self._comes_late(effect, worker, self._carry_out_start, start):
             self.starts_unanswered[run.task.name] += 1
-            yield self._harness.env.timeout(SILENCE_MS)
+            yield self._harness.env.timeout(COMMAND_TIMEOUT_MS)
             answer = CommandAnswer(refusal=Refusal.SILENCE)
         elif worker.is_unreachable or self._harness.is_command_lost(effect):
             self.starts_unanswered[run.task.name] += 1
-            yield self._harness.env.timeout(SILENCE_MS)
+            yield self._harness.env.timeout(COMMAND_TIMEOUT_MS)
             answer = CommandAnswer(refusal=Refusal.SILENCE)
         else:
             yield self._harness.env.timeout(self._harness.command_latency_ms(effect))
@@ -50,7 +50,7 @@
             if self._harness.omits_worker_clock(effect):
                 answer = CommandAnswer(refusal=answer.refusal)
             if self._harness.is_start_answer_lost(effect):
-                yield self._harness.env.timeout(SILENCE_MS)
+                yield self._harness.env.timeout(COMMAND_TIMEOUT_MS)
                 answer = CommandAnswer(refusal=Refusal.SILENCE)
         if self._harness.is_current(cell):
             cell.on_start(run, answer, now_ms=self._harness.now)
@@ -111,7 +111,7 @@
 
     @staticmethod
     def _carry_out_look(worker, *order):
-        return worker.look(*order)
+        return worker.poll(*order)
 
     def stop(self, cell, effect):
         run = effect.run
@@ -119,10 +119,10 @@
         stop = (*run.key, run.worker.fence(cell.context.epoch))
         late = self._comes_late(effect, worker, self._carry_out_stop, stop)
         if worker.is_replaced:
-            yield self._harness.env.timeout(ORDER_MS)
+            yield self._harness.env.timeout(COMMAND_LATENCY_MS)
             answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
         elif late or worker.is_unreachable or self._harness.is_command_lost(effect):
-            yield self._harness.env.timeout(SILENCE_MS)
+            yield self._harness.env.timeout(COMMAND_TIMEOUT_MS)
             answer = CommandAnswer(refusal=Refusal.SILENCE)
         else:
             yield self._harness.env.timeout(self._harness.command_latency_ms(effect))
@@ -137,15 +137,15 @@
         fence = run.worker.fence(cell.context.epoch)
         task, run_id = run.key
         if worker.is_unreachable or self._harness.is_command_lost(effect):
-            yield self._harness.env.timeout(SILENCE_MS)
+            yield self._harness.env.timeout(COMMAND_TIMEOUT_MS)
             answer = CommandAnswer(refusal=Refusal.SILENCE)
         else:
-            yield self._harness.env.timeout(ORDER_MS)
+            yield self._harness.env.timeout(COMMAND_LATENCY_MS)
             answer = worker.pace(task, run_id, effect.percent, fence, self._harness.now)
         if self._harness.is_current(cell):
             cell.on_pace(run, effect.percent, answer, now_ms=self._harness.now)
 
-    def look(self, cell, effect):
+    def poll(self, cell, effect):
         worker = self._harness.workers[effect.worker.worker_id]
         deadline_ms = 0.0
         if effect.lease_ms:
@@ -155,30 +155,30 @@
             deadline_ms = effect.worker.clock_ms(self._harness.now) + effect.lease_ms
         fence = effect.worker.fence(cell.context.epoch)
         is_first = self._heard_lives.get(worker.worker_id) != worker.born_epoch_ms
-        look = (fence, 0, 0.0) if is_first else (fence, effect.last_end, deadline_ms)
+        poll = (fence, 0, 0.0) if is_first else (fence, effect.last_end, deadline_ms)
         wait_ms = 0 if is_first else effect.wait_ms
-        if self._comes_late(effect, worker, self._carry_out_look, look):
-            yield self._harness.env.timeout(SILENCE_MS)
+        if self._comes_late(effect, worker, self._carry_out_look, poll):
+            yield self._harness.env.timeout(COMMAND_TIMEOUT_MS)
             if self._harness.is_current(cell):
                 cell.poller.on_poll_unanswered(
                     effect.worker, quick=effect.quick, now_ms=self._harness.now
                 )
             return
-        until_ms = self._harness.now + max(wait_ms, ORDER_MS)
+        until_ms = self._harness.now + max(wait_ms, COMMAND_LATENCY_MS)
         while self._harness.now < until_ms and not worker.is_unreachable:
             worker.advance(self._harness.now)
             if wait_ms and any(r.number > effect.last_end for r in worker.ended):
                 break
-            yield self._harness.env.timeout(ORDER_MS)
+            yield self._harness.env.timeout(COMMAND_LATENCY_MS)
         report = None
         if worker.is_replaced:
             if self._harness.is_current(cell):
                 cell.on_other_incarnation(effect.worker, now_ms=self._harness.now)
             return
         if not worker.is_unreachable:
-            report = worker.look(*look, self._harness.now)
+            report = worker.poll(*poll, self._harness.now)
         else:
-            yield self._harness.env.timeout(SILENCE_MS)
+            yield self._harness.env.timeout(COMMAND_TIMEOUT_MS)
         if not self._harness.is_current(cell):
             return
         if report is None:
@@ -191,7 +191,7 @@
             cell.on_report(
                 effect.worker,
                 report,
-                look[1],
+                poll[1],
                 quick=effect.quick,
                 now_ms=self._harness.now,
             )
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -10,7 +10,7 @@
 from thymefork_cells.state.advice_slots import AdviceSlots
 from thymefork_cells.workers.worker_poller import LEASE_MS
 
-from .command_transport import ORDER_MS, CommandTransport
+from .command_transport import COMMAND_LATENCY_MS, CommandTransport
 from .idle_cell_owners import PARTS, IdleCellOwners
 from .machine_faults import MachineFaults
 from .virtual_gangs import VirtualGangs
@@ -86,7 +86,7 @@
         self.omits_worker_clock = lambda effect: False
         self.command_delay_ms = lambda effect: 0.0
         self.refusal_for = lambda effect: None
-        self.command_latency_ms = lambda effect: ORDER_MS
+        self.command_latency_ms = lambda effect: COMMAND_LATENCY_MS
         self.answer_latency_ms = lambda effect: 0.0
         self.append_latency_ms = lambda: APPEND_MS
         self.cycle_interval_ms = lambda: TURN_MS
@@ -305,7 +305,7 @@
         elif isinstance(effect, fx.PaceRun):
             self.env.process(self.transport.pace(cell, effect))
         elif isinstance(effect, fx.PollWorker):
-            self.env.process(self.transport.look(cell, effect))
+            self.env.process(self.transport.poll(cell, effect))
         elif isinstance(effect, PARTS):
             self.owners.send(effect)
         elif isinstance(effect, fx.RequestAdvice):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
@@ -38,7 +38,7 @@
     harness.restart(worker, away_ms=50.0)
     while worker.is_unreachable:
         harness.run(1)
-    worker.look(fence, 0, deadline_clock_ms, harness.now)
+    worker.poll(fence, 0, deadline_clock_ms, harness.now)
     assert worker.lease_until_ms > harness.now + 5_000.0
     return worker
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
@@ -5,7 +5,7 @@
 from thymefork_cells.effects import Outcome, StartRun
 from thymefork_cells.state import JobState
 
-from .command_transport import SILENCE_MS
+from .command_transport import COMMAND_TIMEOUT_MS
 from .harness import job_spec
 
 JOB = "00000000000000aa"
@@ -283,7 +283,7 @@
     harness.run(2_500)
     _, _, again_ms = harness.starts_of(f"{JOB}.0.0.0")[0]
     # Silence is told by the harness; a look, a stop and a look follow it.
-    assert again_ms - lost[0].began_ms < SILENCE_MS + 80
+    assert again_ms - lost[0].began_ms < COMMAND_TIMEOUT_MS + 80
 
 
 def test_a_gang_whose_quick_members_wait_for_a_slow_one_is_let_be(make_harness):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
@@ -20,7 +20,7 @@
 
 from thymefork_cells.state import JobState
 
-from .command_transport import SILENCE_MS
+from .command_transport import COMMAND_TIMEOUT_MS
 from .harness import job_spec
 
 JOB = "00000000000000aa"
@@ -84,7 +84,7 @@
     begin_outage(harness)
     harness.run(for_ms)
     leave(harness, ("w0", "w1"))
-    harness.run(SILENCE_MS)
+    harness.run(COMMAND_TIMEOUT_MS)
 
 
 def starts_of_step(harness, step, count):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_store_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_store_outages.py
@@ -110,7 +110,7 @@
     assert cell.quorum.is_held(harness.now)
     paused_until_ms = harness.now + 4_000.0
     for worker in cell.context.workers.values():
-        report = harness.workers[worker.worker_id].look(
+        report = harness.workers[worker.worker_id].poll(
             worker.fence(2), 0, 0, harness.now
         )
         cell.poller.on_report(worker, report, 0, now_ms=paused_until_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
@@ -190,7 +190,7 @@
             self.pace_percents[task, run_id] = percent
         return CommandAnswer(clock_ms=self.clock(now_ms))
 
-    def look(self, fence, last_end, deadline_clock_ms, now_ms):
+    def poll(self, fence, last_end, deadline_clock_ms, now_ms):
         self.advance(now_ms)
         if fence < self.fence:
             return None
--- a/packages/thymefork-daemon/src/thymefork_daemon/capacity/owner_load.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/capacity/owner_load.py
@@ -33,7 +33,7 @@
     queued: float = 0.0
 
     @property
-    def most(self):
+    def highest(self):
         """Return the largest: what is short decides, however well the rest is."""
         return max(self.lag, self.busy, self.append, self.queued)
 
@@ -83,7 +83,7 @@
             weight = 1.0 - math.exp(
                 -min(span_ms, MAX_SAMPLE_INTERVAL_MS) / SMOOTHING_MS
             )
-            self.value += weight * (min(self.pressure.most, 2.0) - self.value)
+            self.value += weight * (min(self.pressure.highest, 2.0) - self.value)
         self._lag_ms = self._busy_ms = self._append_ms = 0.0
         threshold = OVERLOAD_EXIT if self.is_overloaded else OVERLOAD_ENTER
         self.is_overloaded = self.value >= threshold
--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -130,7 +130,7 @@
         self.worker_list = WorkerListWatch(
             store=self.store,
             timers=self.timers,
-            on_change=self.owned_cells.on_workers,
+            on_change=self.owned_cells.on_worker_list,
             on_unreadable=lambda: self.metrics.count("odd_answers", "worker_entry"),
         )
         self.layout = Layout(
--- a/packages/thymefork-daemon/src/thymefork_daemon/departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/departure.py
@@ -18,9 +18,9 @@
         self._daemon = daemon
 
     @property
-    def has_unstored(self):
+    def has_unstored_records(self):
         """Return whether an owner has records that wait to be stored."""
-        return any(owner.has_unstored for owner in self._daemon.owners.values())
+        return any(owner.has_unstored_records for owner in self._daemon.owners.values())
 
     def leave(self, reason, *, for_good):
         """Announce unstored run ends, end the owners and leave the group.
@@ -35,7 +35,7 @@
             steps.callback(daemon.owners.clear)
             for owner in list(daemon.owners.values()):
                 steps.callback(owner.end, reason)
-                steps.callback(owner.tell_ends)
+                steps.callback(owner.announce_ends)
 
     def _on_left(self, answer):
         self._daemon.peers.send_heartbeats()
--- a/packages/thymefork-daemon/src/thymefork_daemon/handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/handover.py
@@ -141,7 +141,7 @@
 
     def _must_wait(self):
         spent_ms = steady_ms() - self._started_ms
-        if spent_ms < MAX_STORE_WAIT_MS and self._departure.has_unstored:
+        if spent_ms < MAX_STORE_WAIT_MS and self._departure.has_unstored_records:
             return True
         has_pending_join = self._daemon.membership.has_pending_join
         return has_pending_join and spent_ms < MAX_STORE_WAIT_MS + MAX_JOIN_WAIT_MS
--- a/packages/thymefork-daemon/src/thymefork_daemon/heard_end_buffer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/heard_end_buffer.py
@@ -38,7 +38,7 @@
         self._ends_by_cell = {}  # by cell, then by task, run and worker
         self._forwarded_epochs = {}  # by cell, the epoch of the last peer served
 
-    def tell(self, cell, epoch, ends):
+    def announce(self, cell, epoch, ends):
         """Buffer what a local owner has received, and send it to the other members."""
         self._add(cell, epoch, ends)
         for link in self._daemon.peers.member_links:
--- a/packages/thymefork-daemon/src/thymefork_daemon/learned_speeds.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/learned_speeds.py
@@ -34,7 +34,7 @@
         self._entries_by_cell = {}  # by cell, then by machine
         self._unannounced = []
 
-    def tell(self, cell, epoch, speeds):
+    def announce(self, cell, epoch, speeds):
         """Keep what an owner here has learned; the next heartbeat tells it."""
         self._keep(cell, speeds)
         self._unannounced.append(_to_message(cell, epoch, speeds))
--- a/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
@@ -69,10 +69,10 @@
             if owner is not None and owned.epoch > owner.epoch:
                 owner.drop_ownership(f"a peer owns it under epoch {owned.epoch}")
 
-    def on_workers(self):
+    def on_worker_list(self):
         """Take the platform's list of workers."""
         for owner in list(self.owners.values()):
-            owner.on_workers()
+            owner.on_worker_list()
 
     def on_configuration(self, configuration):
         """Take a newer configuration."""
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_proxy.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_proxy.py
@@ -21,7 +21,7 @@
     is_withdrawn: bool = False
 
     @property
-    def is_in_vain(self):
+    def is_unwanted(self):
         """Tell whether a call is under way that nobody wants any more."""
         return self.effect is not None and not is_wanted(self.effect)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
@@ -38,24 +38,24 @@
             fence=worker.fence(self._owner.epoch),
             deadline_clock_ms=worker.clock_ms(now_ms) + LEASE_MS,
             ticket=step.ticket_for(worker.worker_id, now_ms) or "",
-            wanted=lambda: run.may_continue and self._owner.may_order(),
+            wanted=lambda: run.may_continue and self._owner.may_start_runs(),
             done=lambda answer: self._on_start(run, worker, answer, now_ms),
         )
 
     def _on_start(self, run, worker, answer, sent_ms):
-        if not self._heed(answer.refusal, worker):
+        if not self._still_owned(answer.refusal, worker):
             return
         now_ms = steady_ms()
         self._owner.metrics.observe("start", now_ms - sent_ms)
         self._cell.on_start(run, answer, now_ms=now_ms)
-        self._owner.settle()
+        self._owner.apply_effects()
 
-    def _heed(self, refusal, worker):
+    def _still_owned(self, refusal, worker):
         """Tell whether the cell is still ours after a worker's answer.
 
         An order to a life that is over meets the fence that the next one got from us.
         """
-        if not self._owner.may_look():
+        if not self._owner.may_poll():
             return False
         if refusal is Refusal.FENCED and not worker.is_over:
             self._owner.drop_ownership("a worker has seen a newer owner")
@@ -71,15 +71,17 @@
             task_name=task_name,
             run_id=run_id,
             fence=worker.fence(self._owner.epoch),
-            wanted=self._owner.may_renew,
+            wanted=self._owner.may_renew_leases,
             done=lambda answer: self._on_stop(run, worker, answer),
         )
 
     def _on_stop(self, run, worker, answer):
-        if isinstance(run, fx.OrphanedRun) or not self._heed(answer.refusal, worker):
+        if isinstance(run, fx.OrphanedRun) or not self._still_owned(
+            answer.refusal, worker
+        ):
             return
         self._cell.on_stop(run, answer, now_ms=steady_ms())
-        self._owner.settle()
+        self._owner.apply_effects()
 
     @send.register
     def _pace(self, effect: fx.PaceRun):
@@ -88,22 +90,22 @@
             run=effect.run,
             percent=effect.percent,
             fence=worker.fence(self._owner.epoch),
-            wanted=self._owner.may_order,
+            wanted=self._owner.may_start_runs,
             done=lambda answer: self._on_pace(effect, worker, answer),
         )
 
     def _on_pace(self, effect, worker, answer):
-        if not self._heed(answer.refusal, worker):
+        if not self._still_owned(answer.refusal, worker):
             return
         now_ms = steady_ms()
         self._cell.on_pace(effect.run, effect.percent, answer, now_ms=now_ms)
-        self._owner.settle()
+        self._owner.apply_effects()
 
     @send.register
     def _look(self, effect: fx.PollWorker):
         worker, now_ms = effect.worker, steady_ms()
         deadline_ms = 0.0
-        if effect.lease_ms and self._owner.may_renew():
+        if effect.lease_ms and self._owner.may_renew_leases():
             deadline_ms = worker.clock_ms(now_ms) + effect.lease_ms
             self._cell.poller.record_lease(worker, effect.lease_ms, now_ms=now_ms)
         self._client.look(
@@ -112,12 +114,14 @@
             deadline_clock_ms=deadline_ms,
             last_end=effect.last_end,
             fence=worker.fence(self._owner.epoch),
-            wanted=self._owner.may_renew if deadline_ms else self._owner.may_look,
+            wanted=self._owner.may_renew_leases
+            if deadline_ms
+            else self._owner.may_poll,
             done=lambda result: self._on_look(worker, effect, result),
         )
 
     def _on_look(self, worker, effect, result):
-        if not self._heed(result.refusal, worker):
+        if not self._still_owned(result.refusal, worker):
             return
         now_ms = steady_ms()
         if result.report is not None:
@@ -134,4 +138,4 @@
             self._cell.poller.on_poll_unanswered(
                 worker, quick=effect.quick, now_ms=now_ms
             )
-        self._owner.settle()
+        self._owner.apply_effects()
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_load_monitor.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_load_monitor.py
@@ -8,7 +8,7 @@
 
 __all__ = ["OwnerLoadMonitor"]
 
-SAMPLE_MS = 100.0
+SAMPLE_INTERVAL_MS = 100.0
 
 
 class OwnerLoadMonitor:
@@ -18,9 +18,9 @@
         self._daemon = daemon
         self.load = OwnerLoad(link_mbps=link_mbps)
         self.load_shedder = LoadShedder(load=self.load)
-        self._kinds = []
+        self._shed_kinds = []
         daemon.metrics.set("owner_tier", int(daemon.capacity.tier))
-        daemon.timers.every(SAMPLE_MS, self._sample)
+        daemon.timers.every(SAMPLE_INTERVAL_MS, self._sample)
 
     def _sample(self):
         daemon = self._daemon
@@ -34,7 +34,7 @@
             )
         self.load_shedder.update()
         self._daemon.metrics.set("owner_load_percent", self.load.percent)
-        self._tell_kinds()
+        self._log_shed_kinds()
 
     def _join_ms(self):
         """Return how long a join takes where nothing but the store is slow."""
@@ -42,11 +42,11 @@
         own_ms = self._daemon.membership.round_trip_ms
         return own_ms if others_ms is None else min(own_ms, others_ms)
 
-    def _tell_kinds(self):
+    def _log_shed_kinds(self):
         kinds = self.load_shedder.kinds
-        if kinds == self._kinds:
+        if kinds == self._shed_kinds:
             return
-        self._kinds = kinds
+        self._shed_kinds = kinds
         pressure = self.load.pressure
         line = logger.bind(
             event="owner_sheds",
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -281,4 +281,4 @@
 
     def _on_links_changed(self):
         for owner in list(self._daemon.owners.values()):  # owners may be lost here
-            owner.on_links()
+            owner.on_links_changed()
--- a/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
@@ -61,7 +61,7 @@
         store_by_ms = (
             max(self._began_ms, self._store_unavailable_ms) + MAX_STORE_WAIT_MS
         )
-        return self._departure.has_unstored and now_ms < store_by_ms
+        return self._departure.has_unstored_records and now_ms < store_by_ms
 
     def _is_store_unavailable(self):
         if self._daemon.membership.store_lost:
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
@@ -110,7 +110,7 @@
         self.cut_at_ms = None
         self.is_up = True
         self.told = 0
-        self.has_unstored = False
+        self.has_unstored_records = False
         self.owners = {}
         self.timers = InstanceTimers(group.timers, self)
         self.metrics = FakeMetrics()
@@ -145,16 +145,16 @@
             self.owners[0] = SimpleNamespace(
                 is_serving=not self.takes_over_slowly,
                 is_store_unavailable=False,
-                has_unstored=False,
+                has_unstored_records=False,
                 epoch=1,
-                tell_ends=self._tell_ends,
+                announce_ends=self._announce_ends,
                 end=lambda reason: None,
             )
 
     def _update_cells(self):
         self.updates += 1
 
-    def _tell_ends(self):
+    def _announce_ends(self):
         self.told += 1
 
     @property
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
@@ -183,7 +183,7 @@
         writer.stored.append(batch)
         writer.pump.end()
 
-    writer.pump._flights[0].on_stored = end
+    writer.pump._in_flight[0].on_stored = end
     answer(writer, calls_of(writer, 4)[0], AppendOutcome.STORED)
     assert writer.stored == writer.sent[:1]
 
@@ -199,7 +199,7 @@
     def fail(batch):
         raise RuntimeError
 
-    writer.pump._flights[0].on_stored = fail
+    writer.pump._in_flight[0].on_stored = fail
     with pytest.raises(RuntimeError):
         answer(writer, calls_of(writer, 4)[0], AppendOutcome.STORED)
     assert writer.stored == writer.sent[1:]
@@ -247,8 +247,10 @@
             self._next_key += 1
             self.waiting.append(f"{self._next_key}")
         pump, now_ms = self.writer.pump, self._timers.now_ms
-        open_ms = pump.open_ms
-        is_open = open_ms is not None and max(open_ms, self._again_ms) <= now_ms
+        next_send_ms = pump.next_send_ms
+        is_open = (
+            next_send_ms is not None and max(next_send_ms, self._again_ms) <= now_ms
+        )
         if is_open and not self.writer.lost:
             if self.waiting or self._rng.random() < 0.05:
                 self._send()
@@ -260,7 +262,7 @@
             batch.add(key, b"v")
         self.waiting = []
         self.writer.pump.send(batch, self._on_stored, self._on_back)
-        self.most_sent = max(self.most_sent, len(self.writer.pump._flights))
+        self.most_sent = max(self.most_sent, len(self.writer.pump._in_flight))
 
     def _on_stored(self, batch):
         stored = {key for key, _ in self.writer.store.stored}
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_overlap.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_overlap.py
@@ -23,7 +23,7 @@
 DECISIONS_PER_S = 60
 LOAD_MS = 6_000.0
 ONE_AT_A_TIME = 1
-AS_MANY_AS_GAIN = append_window.MOST_UNDER_WAY
+AS_MANY_AS_GAIN = append_window.MAX_IN_FLIGHT
 
 
 class Decisions:
@@ -52,8 +52,12 @@
             self._timers.after(apart_ms, self._decide)
 
     def _turn(self):
-        open_ms = self.pump.open_ms
-        if self._waiting and open_ms is not None and open_ms <= self._timers.now_ms:
+        next_send_ms = self.pump.next_send_ms
+        if (
+            self._waiting
+            and next_send_ms is not None
+            and next_send_ms <= self._timers.now_ms
+        ):
             decided, self._waiting = self._waiting, []
             batch = Batch()
             for number, _ in enumerate(decided):
@@ -67,8 +71,8 @@
 
 def play(timers, monkeypatch, most, *, latency_ms, service_time_ms, seed=1):
     """Return the mean wait from a decision to its answered append, and the store."""
-    monkeypatch.setattr(append_window, "MOST_UNDER_WAY", most)
-    monkeypatch.setattr(append_window, "FIRST_UNDER_WAY", min(2.0, most))
+    monkeypatch.setattr(append_window, "MAX_IN_FLIGHT", most)
+    monkeypatch.setattr(append_window, "INITIAL_IN_FLIGHT", min(2.0, most))
     rng = random.Random(seed)
     store = SequencedStore(
         timers=timers,
@@ -105,7 +109,7 @@
         }
         alone_ms, _ = play(timers, monkeypatch, ONE_AT_A_TIME, **load)
         overlapping_ms, store = play(timers, monkeypatch, AS_MANY_AS_GAIN, **load)
-        assert store.max_open <= append_pipeline.MOST_CALLS_OPEN
+        assert store.max_open <= append_pipeline.MAX_OPEN_CALLS
         shares.append(overlapping_ms / alone_ms)
     assert mean(shares) <= most_share
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -146,7 +146,7 @@
         HeardEnd(worker_id="w0", task="aa.0.0.0", run_id=1, how="done", checkpoint="")
     ]
     daemon.peers.member_links = []
-    daemon.heard_ends.tell(0, 2, ends)
+    daemon.heard_ends.announce(0, 2, ends)
     daemon.owned_cells.update()
     tasks = daemon.owners[0].cell.context.jobs["aa"].steps[0].tasks
     assert [task.done for task in tasks] == [True, False]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
@@ -68,7 +68,7 @@
             cell=self.cell,
             ownership=SimpleNamespace(is_renewed=lambda: True),
             pump=self.pump,
-            performer=SimpleNamespace(perform=self.perform),
+            executor=SimpleNamespace(execute=self.execute),
             timers=timers,
             worker_list_as_of_ms=lambda: timers.now_ms,
         )
@@ -94,10 +94,10 @@
         else:
             job_id = self.rng.choice(list(self.cell.context.jobs))
             intake.cancel(("cancel", job_id), job_id, now_ms=now_ms)
-        self.loop.settle()
+        self.loop.apply_effects()
         self.timers.after(self.rng.expovariate(1 / 20.0), self.ask)
 
-    def perform(self, effects):
+    def execute(self, effects):
         for effect in effects:
             if isinstance(effect, Reply):
                 self.check(effect)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
@@ -43,10 +43,10 @@
         lost=lost,
         heard=heard,
         drop_ownership=lost.append,
-        may_look=lambda: True,
-        may_renew=lambda: True,
-        may_order=lambda: True,
-        settle=lambda: None,
+        may_poll=lambda: True,
+        may_renew_leases=lambda: True,
+        may_start_runs=lambda: True,
+        apply_effects=lambda: None,
     )
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
@@ -30,7 +30,7 @@
         self.ended = False
         self._fails = fails
 
-    def tell_ends(self):
+    def announce_ends(self):
         if self._fails:
             raise RuntimeError("its ends can't be told")
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from thymefork_daemon.owner import CellOwner, advice_dispatcher as advisers_module
+from thymefork_daemon.owner import CellOwner, advice_dispatcher as dispatcher_module
 
 from .fakes import FakeMetrics, FakeStore, capacity_attributes
 from .test_advice_dispatcher import FakeLink, OwnClient, long_call, reply_to
 
-CLOCK_MODULES = (advisers_module,)
+CLOCK_MODULES = (dispatcher_module,)
 
 
 @pytest.fixture
@@ -32,9 +32,9 @@
     """Return an owner with one call under way at another instance and one waiting."""
     owner = CellOwner(cell=0, epoch=1, daemon=daemon)
     link = FakeLink("edge-0")
-    owner._advisers.update([link])
-    owner._advisers.ask(long_call("under way"))
-    owner._advisers.ask(long_call("waiting"))
+    owner._advice_dispatcher.update([link])
+    owner._advice_dispatcher.ask(long_call("under way"))
+    owner._advice_dispatcher.ask(long_call("waiting"))
     assert [message.step for message in link.sent] == ["under way"]
     return owner, link
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
@@ -141,7 +141,7 @@
     group.lose(full)
     group.run(8_000)
     stand_in = group.owner
-    stand_in.owners[0].has_unstored = True
+    stand_in.owners[0].has_unstored_records = True
     group.bring_back(full)
     run_until_it_leaves(group, stand_in)
     group.run(100)
@@ -251,7 +251,7 @@
     group.lose(full)
     group.run(8_000)
     stand_in = group.owner
-    stand_in.owners[0].has_unstored = True
+    stand_in.owners[0].has_unstored_records = True
     group.bring_back(full)
     run_until_it_leaves(group, stand_in)
     group.lose(full)
@@ -266,7 +266,7 @@
 def test_a_handover_for_overload_is_given_up_when_the_owner_can_follow(group):
     group.run(5_000)
     first = group.owner
-    first.owners[0].has_unstored = True
+    first.owners[0].has_unstored_records = True
     overload(first)
     run_until_it_leaves(group, first)
     relieve(first)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_heard_end_buffer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_heard_end_buffer.py
@@ -63,13 +63,13 @@
     daemon = SimpleNamespace(
         peers=SimpleNamespace(member_links=[FakeLink()]), metrics=FakeMetrics()
     )
-    HeardEndBuffer(daemon=daemon).tell(CELL, epoch, ends)
+    HeardEndBuffer(daemon=daemon).announce(CELL, epoch, ends)
     (message,) = daemon.peers.member_links[0].sent
     return message
 
 
 def test_every_member_gets_the_announcement(daemon, timers):
-    HeardEndBuffer(daemon=daemon).tell(CELL, 3, [end(1), end(2)])
+    HeardEndBuffer(daemon=daemon).announce(CELL, 3, [end(1), end(2)])
     for link in daemon.peers.member_links:
         (message,) = link.sent
         assert (message.cell, message.epoch) == (CELL, 3)
@@ -143,14 +143,14 @@
 def test_buffer_is_bounded_and_drops_are_counted(daemon, timers, monkeypatch):
     monkeypatch.setattr(heard_end_buffer_module, "MAX_ENDS_PER_CELL", 2)
     buffer = HeardEndBuffer(daemon=daemon)
-    buffer.tell(CELL, 3, [end(number) for number in range(5)])
+    buffer.announce(CELL, 3, [end(number) for number in range(5)])
     assert len(buffer.ends_before(CELL, 4)) == 2
     assert daemon.metrics.counts.count(("heard_ends", "dropped")) == 3
 
 
 def test_many_ends_are_split_into_bounded_messages(daemon, timers):
     ends = [end(number) for number in range(MAX_ENDS_PER_MESSAGE + 1)]
-    HeardEndBuffer(daemon=daemon).tell(CELL, 3, ends)
+    HeardEndBuffer(daemon=daemon).announce(CELL, 3, ends)
     sizes = [len(message.ends) for message in daemon.peers.member_links[0].sent]
     assert sizes == [MAX_ENDS_PER_MESSAGE, 1]
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
@@ -40,7 +40,7 @@
 
 def test_what_one_instance_tells_another_keeps(now, daemon):
     here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed("m1", 0.357), speed("m2", -0.531)])
+    here.announce(CELL, 3, [speed("m1", 0.357), speed("m2", -0.531)])
     there = LearnedSpeeds(daemon=daemon)
     for message in heard(here.take_unannounced()):
         there.on_message(message)
@@ -51,14 +51,14 @@
 
 def test_news_is_told_once(now, daemon):
     here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed("m1", 0.357)])
+    here.announce(CELL, 3, [speed("m1", 0.357)])
     assert here.take_unannounced()
     assert here.take_unannounced() is None
 
 
 def test_an_owner_keeps_its_own_beside_the_word_of_an_earlier_one(now, daemon):
     here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed("m1", 0.4)])
+    here.announce(CELL, 3, [speed("m1", 0.4)])
     there = LearnedSpeeds(daemon=SimpleNamespace(**vars(daemon)))
     there._daemon.owners = {CELL: SimpleNamespace(epoch=4)}
     for message in here.take_unannounced():
@@ -95,7 +95,7 @@
             self._clock.ms += 500.0
             self.learner.review(self._clock.ms)
             for speeds in self._told:
-                self._here.tell(CELL, 1, speeds)
+                self._here.announce(CELL, 1, speeds)
             self._told.clear()
             for message in heard(self._here.take_unannounced()) or ():
                 for heir in heirs:
@@ -121,8 +121,8 @@
 def test_a_member_that_comes_is_told_all_of_the_cells_owned_here(now, daemon):
     here = LearnedSpeeds(daemon=daemon)
     assert here.of_owned_cells() is None
-    here.tell(CELL, 3, [speed("m1", 0.357)])
-    here.tell(CELL + 1, 3, [speed("m2", 0.357)])
+    here.announce(CELL, 3, [speed("m1", 0.357)])
+    here.announce(CELL + 1, 3, [speed("m2", 0.357)])
     daemon.owners = {CELL: SimpleNamespace(epoch=3)}
     (message,) = heard(here.of_owned_cells())
     assert (message.cell, message.epoch) == (CELL, 3)
@@ -140,7 +140,7 @@
 
 def test_what_is_old_is_forgotten(now, daemon):
     here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed("m1", 0.4)])
+    here.announce(CELL, 3, [speed("m1", 0.4)])
     now.ms += RETENTION_MS + 1.0
     assert here.of(CELL) == []
 
@@ -148,7 +148,7 @@
 def test_told_speeds_that_are_kept_are_bounded(now, daemon, monkeypatch):
     monkeypatch.setattr(module, "MOST_KEPT", 3)
     here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed(f"m{number}", 0.4) for number in range(5)])
+    here.announce(CELL, 3, [speed(f"m{number}", 0.4) for number in range(5)])
     assert [row.machine for row in here.of(CELL)] == ["m2", "m3", "m4"]
 
 
@@ -157,7 +157,7 @@
     owned = [OwnedCell(cell=0, epoch=1)]
     without = Heartbeat(owned=owned, config_version=1, leaving=False)
     here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed("m1", 0.4)])
+    here.announce(CELL, 3, [speed("m1", 0.4)])
     unannounced = here.take_unannounced()
     beat = Heartbeat(owned=owned, config_version=1, leaving=False, speeds=unannounced)
     read = decode(encode(beat), peer="edge-1")
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
@@ -172,7 +172,9 @@
     links = [BreakingLink() for _ in range(3)]
     daemon = SimpleNamespace(
         timers=timers,
-        owners={0: SimpleNamespace(is_serving=True, epoch=1, on_links=lambda: None)},
+        owners={
+            0: SimpleNamespace(is_serving=True, epoch=1, on_links_changed=lambda: None)
+        },
         configuration=None,
         is_stopping=False,
         layout=SimpleNamespace(cells=0),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -66,7 +66,9 @@
     told = []
     for cell in (0, 1, 2):
         daemon.owners[cell] = SimpleNamespace(
-            on_links=lambda cell=cell: told.append(cell) or daemon.owners.pop(cell)
+            on_links_changed=lambda cell=cell: (
+                told.append(cell) or daemon.owners.pop(cell)
+            )
         )
     PeerDispatcher(daemon=daemon).on_message(None, Hello(instance="edge-0"))
     assert told == [0, 1, 2]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
@@ -46,7 +46,7 @@
         pump=SimpleNamespace(is_store_unavailable=pump_says_away),
         metrics=metrics,
         timers=None,  # where nothing is told of a caller's patience, none is needed
-        settle=lambda: None,
+        apply_effects=lambda: None,
     )
     handler.handle(kind, "q", job_id, b"", replies.append)
     return intake.asked, metrics.counts, replies
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_scheduling_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_scheduling_loop.py
@@ -7,9 +7,9 @@
 from thymefork_daemon.capacity import LoadShedder, OwnerLoad
 from thymefork_daemon.owner import scheduling_loop
 from thymefork_daemon.owner.scheduling_loop import (
+    CYCLE_DELAY_MS,
     LINGER_MS,
-    STORE_AGAIN_MS,
-    TURN_MS,
+    STORE_RETRY_DELAY_MS,
     SchedulingLoop,
 )
 
@@ -56,7 +56,7 @@
 
 
 class FakePump:
-    open_ms = 0.0
+    next_send_ms = 0.0
     is_store_unavailable = False
 
     def __init__(self):
@@ -66,7 +66,7 @@
     def send(self, batch, on_stored, on_not_stored):
         self.sent.append((batch, on_stored, on_not_stored))
 
-    def clear_failure(self):
+    def reset_failure(self):
         self.cleared += 1
 
 
@@ -78,7 +78,7 @@
         cell=cell,
         ownership=ownership,
         pump=pump,
-        performer=SimpleNamespace(perform=performed.extend),
+        executor=SimpleNamespace(execute=performed.extend),
         timers=timers,
         worker_list_as_of_ms=lambda: 0.0,
     )
@@ -90,15 +90,15 @@
 
 def test_events_that_come_together_share_a_turn(parts, timers):
     parts.cell.effects = ["first"]
-    parts.loop.settle()
-    timers.run(TURN_MS / 2)
+    parts.loop.apply_effects()
+    timers.run(CYCLE_DELAY_MS / 2)
     parts.cell.effects = ["second"]
-    parts.loop.settle()
+    parts.loop.apply_effects()
     assert parts.performed == ["first", "second"]
     assert len(parts.cell.turns_ms) == 1
-    timers.run(TURN_MS / 2)
+    timers.run(CYCLE_DELAY_MS / 2)
     assert len(parts.cell.turns_ms) == 2
-    timers.run(TURN_MS)
+    timers.run(CYCLE_DELAY_MS)
     assert len(parts.cell.turns_ms) == 2
 
 
@@ -115,17 +115,17 @@
         raise ArithmeticError
 
     parts.cell.run_cycle = fail
-    parts.loop.settle()
+    parts.loop.apply_effects()
     with pytest.raises(ArithmeticError):
-        timers.run(TURN_MS)
+        timers.run(CYCLE_DELAY_MS)
     timers.run(FAR_MS)
     assert len(parts.cell.turns_ms) >= 2
 
 
 def test_records_that_nobody_waits_for_wait_for_others(parts, timers):
     parts.cell.journal.waiting = ["an end"]
-    parts.loop.settle()
-    timers.run(TURN_MS + LINGER_MS - 1)
+    parts.loop.apply_effects()
+    timers.run(CYCLE_DELAY_MS + LINGER_MS - 1)
     assert not parts.pump.sent
     timers.run(1)
     assert len(parts.pump.sent) == 1
@@ -136,23 +136,23 @@
     parts.cell.journal.waiting = ["a job"]
     parts.cell.journal.is_urgent = reason == "is_urgent"
     parts.pump.is_store_unavailable = reason == "store_is_away"
-    parts.loop.settle()
-    timers.run(TURN_MS)
+    parts.loop.apply_effects()
+    timers.run(CYCLE_DELAY_MS)
     assert len(parts.pump.sent) == 1
 
 
 def test_one_append_at_a_time(parts, timers):
     parts.cell.journal.waiting, parts.cell.journal.is_urgent = ["a job"], True
-    parts.pump.open_ms = None
-    parts.loop.settle()
-    timers.run(TURN_MS)
+    parts.pump.next_send_ms = None
+    parts.loop.apply_effects()
+    timers.run(CYCLE_DELAY_MS)
     assert not parts.pump.sent
 
 
 def test_a_batch_leaves_beside_another_as_soon_as_the_pump_takes_it(parts, timers):
-    parts.pump.open_ms = timers.now_ms + 80.0
+    parts.pump.next_send_ms = timers.now_ms + 80.0
     parts.cell.journal.waiting, parts.cell.journal.is_urgent = ["a job"], True
-    parts.loop.settle()
+    parts.loop.apply_effects()
     timers.run(79)
     assert not parts.pump.sent
     timers.run(1)
@@ -164,23 +164,23 @@
 ):
     for effect in ("first", "second"):
         parts.cell.journal.waiting, parts.cell.journal.is_urgent = [effect], True
-        parts.loop.settle()
-        timers.run(TURN_MS)
+        parts.loop.apply_effects()
+        timers.run(CYCLE_DELAY_MS)
     assert len(parts.pump.sent) == 2
     for batch, _, on_not_stored in reversed(parts.pump.sent):
         on_not_stored(batch)
     assert [batch.effects for batch in parts.cell.not_stored] == [["second"], ["first"]]
     parts.cell.journal.waiting = ["both"]
-    timers.run(STORE_AGAIN_MS - 1)
+    timers.run(STORE_RETRY_DELAY_MS - 1)
     assert len(parts.pump.sent) == 2
-    timers.run(1 + TURN_MS)
+    timers.run(1 + CYCLE_DELAY_MS)
     assert len(parts.pump.sent) == 3
 
 
 def test_what_follows_an_append_happens_once_it_is_stored(parts, timers):
     parts.cell.journal.waiting, parts.cell.journal.is_urgent = ["a reply"], True
-    parts.loop.settle()
-    timers.run(TURN_MS)
+    parts.loop.apply_effects()
+    timers.run(CYCLE_DELAY_MS)
     batch, on_stored, _ = parts.pump.sent[0]
     assert not parts.performed
     on_stored(batch)
@@ -189,26 +189,26 @@
 
 def test_after_an_append_that_was_turned_away_the_next_one_waits(parts, timers):
     parts.cell.journal.waiting, parts.cell.journal.is_urgent = ["a job"], True
-    parts.loop.settle()
-    timers.run(TURN_MS)
+    parts.loop.apply_effects()
+    timers.run(CYCLE_DELAY_MS)
     batch, _, on_not_stored = parts.pump.sent[0]
     on_not_stored(batch)
     assert parts.cell.not_stored == [batch]
     parts.cell.journal.waiting = ["another job"]
-    parts.loop.settle()
-    timers.run(STORE_AGAIN_MS - 1)
+    parts.loop.apply_effects()
+    timers.run(STORE_RETRY_DELAY_MS - 1)
     assert len(parts.pump.sent) == 1
-    timers.run(1 + TURN_MS)
+    timers.run(1 + CYCLE_DELAY_MS)
     assert len(parts.pump.sent) == 2 and not parts.pump.cleared
 
 
 def test_the_next_request_finds_out_whether_the_store_is_back(parts, timers):
     parts.cell.journal.waiting, parts.cell.journal.is_urgent = ["a job"], True
-    parts.loop.settle()
-    timers.run(TURN_MS)
+    parts.loop.apply_effects()
+    timers.run(CYCLE_DELAY_MS)
     batch, _, on_not_stored = parts.pump.sent[0]
     on_not_stored(batch)
-    timers.run(STORE_AGAIN_MS)
+    timers.run(STORE_RETRY_DELAY_MS)
     assert parts.pump.cleared == 1
 
 
@@ -223,7 +223,7 @@
     parts.cell.journal.waiting, parts.cell.journal.is_urgent = ["a job"], True
     parts.cell.effects = ["an order"]
     parts.loop.end()
-    parts.loop.settle()
+    parts.loop.apply_effects()
     parts.loop.run_cycle()
     timers.run(2 * FAR_MS)
     assert len(parts.cell.turns_ms) == 1
@@ -243,10 +243,10 @@
         cell=cell,
         ownership=SimpleNamespace(is_renewed=lambda: True),
         pump=FakePump(),
-        performer=SimpleNamespace(perform=lambda effects: None),
+        executor=SimpleNamespace(execute=lambda effects: None),
         timers=timers,
         worker_list_as_of_ms=lambda: 0.0,
-        load_watch=SimpleNamespace(load=load, load_shedder=load_shedder),
+        load_monitor=SimpleNamespace(load=load, load_shedder=load_shedder),
     )
     loop.run_cycle()
     assert cell.context.defers_idle_polls and not cell.context.defers_early_advice
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
@@ -18,15 +18,15 @@
 
 
 class FakeOwner:
-    """Own a cell; records are unstored while `has_unstored` is set."""
+    """Own a cell; records are unstored while `has_unstored_records` is set."""
 
     def __init__(self, log):
-        self.has_unstored = True
+        self.has_unstored_records = True
         self.store_answers = True
         self.ended = False
         self._log = log
 
-    def tell_ends(self):
+    def announce_ends(self):
         self._log.append("told")
 
     def end(self, reason):
@@ -63,7 +63,7 @@
     daemon.shutdown.begin()
     timers.run(100)
     assert not daemon.owner.ended
-    daemon.owner.has_unstored = False
+    daemon.owner.has_unstored_records = False
     timers.run(100)
     assert daemon.owner.ended and "left" in daemon.log
 
@@ -86,7 +86,7 @@
     daemon.owner.store_answers = True
     timers.run(100)
     assert not daemon.owner.ended  # its records are being stored
-    daemon.owner.has_unstored = False
+    daemon.owner.has_unstored_records = False
     timers.run(100)
     assert daemon.owner.ended and "left" in daemon.log
     assert daemon.shutdown.is_complete()
@@ -94,7 +94,7 @@
 
 def test_idle_owner_without_the_store_keeps_its_cells(daemon, timers):
     """The leases of its running tasks have to be renewed."""
-    daemon.owner.has_unstored = False
+    daemon.owner.has_unstored_records = False
     daemon.membership.store_lost = True
     daemon.shutdown.begin()
     timers.run(3_000)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
@@ -120,18 +120,18 @@
 
 
 def test_failing_effect_does_not_stop_the_others():
-    performer = EffectExecutor(
+    executor = EffectExecutor(
         cell_index=0,
         metrics=Metrics(),
         advisers=None,
-        orders=None,
+        command_sender=None,
         on_ends_stored=None,
-        tell_ends=None,
-        tell_speeds=None,
+        announce_ends=None,
+        announce_speeds=None,
     )
     replies = []
     reply = fx.Reply(request_id=replies.append, outcome=fx.Outcome.ACCEPTED)
-    performer.perform([object(), reply])
+    executor.execute([object(), reply])
     assert replies == [reply]
 
 
@@ -152,18 +152,18 @@
 
 def test_overloaded_owner_suppresses_routine_lines_only(writer, pipe):
     metrics = Metrics()
-    performer = EffectExecutor(
+    executor = EffectExecutor(
         cell_index=0,
         metrics=metrics,
         advisers=None,
-        orders=None,
+        command_sender=None,
         on_ends_stored=None,
-        tell_ends=None,
-        tell_speeds=None,
+        announce_ends=None,
+        announce_speeds=None,
         sheds=lambda kind: kind is SheddableWork.LOG_LINES,
     )
     replies = []
-    performer.perform(
+    executor.execute(
         [
             fx.Note(event="tasks_start"),
             fx.Note(event="job_ended"),
