--- a/packages/thymefork-daemon/src/thymefork_daemon/departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/departure.py
@@ -22,7 +22,7 @@
         """Return whether an owner has records that wait to be stored."""
         return any(owner.has_unstored_records for owner in self._daemon.owners.values())
 
-    def leave(self, reason, *, for_good):
+    def leave(self, reason, *, permanent):
         """Announce unstored run ends, end the owners and leave the group.
 
         Every step runs even if an earlier one raised; otherwise nobody would serve
@@ -31,7 +31,7 @@
         daemon = self._daemon
         with ExitStack() as steps:  # runs in reverse order of registration
             steps.callback(daemon.owned_cells.update)
-            steps.callback(daemon.membership.leave, self._on_left, for_good=for_good)
+            steps.callback(daemon.membership.leave, self._on_left, permanent=permanent)
             steps.callback(daemon.owners.clear)
             for owner in list(daemon.owners.values()):
                 steps.callback(owner.end, reason)
--- a/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
@@ -98,7 +98,10 @@
             self._daemon.metrics.observe("request", took_ms, kind=wanted.kind)
             if reply.outcome in (Outcome.REFUSED, Outcome.IN_DOUBT):
                 _log_refusal(wanted, queue, reply, took_ms)
-            if reply.outcome == Outcome.REFUSED and self._daemon.readiness.is_isolated:
+            if (
+                reply.outcome == Outcome.REFUSED
+                and self._daemon.readiness.is_disconnected
+            ):
                 # Another instance can serve it: no retry delay, new connection.
                 request.keep_alive = False
                 reply = evolve(reply, retry_after_ms=0)
--- a/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
@@ -144,7 +144,9 @@
         self._set_timer(pending, pending.left_ms(), action)
 
     def _await_owner(self, call_id, pending):
-        is_hopeless = not pending.open_attempts and self._daemon.readiness.is_isolated
+        is_hopeless = (
+            not pending.open_attempts and self._daemon.readiness.is_disconnected
+        )
         if steady_ms() < pending.find_until_ms and not is_hopeless:
             self._set_timer(pending, RETRY_PERIOD_MS, lambda: self._send(call_id))
         else:
--- a/packages/thymefork-daemon/src/thymefork_daemon/handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/handover.py
@@ -69,7 +69,7 @@
         for status in self._statuses():
             for tier in (status.tier if status.can_own else None, status.best_tier):
                 if tier is not None:
-                    self._daemon.layout.note_tier(tier)
+                    self._daemon.layout.add_tier(tier)
 
     def _may_hand_over(self):
         """Tell whether the store takes what there is to store, and this goes on.
@@ -156,4 +156,4 @@
         self._reason = None
         self._rule.on_left(steady_ms())
         daemon.standby.on_left()
-        self._departure.leave(f"handed over: {reason}", for_good=False)
+        self._departure.leave(f"handed over: {reason}", permanent=False)
--- a/packages/thymefork-daemon/src/thymefork_daemon/layout.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/layout.py
@@ -56,7 +56,7 @@
         """Return the best tier of which an instance has ever existed."""
         return max(self.tiers)
 
-    def note_tier(self, tier):
+    def add_tier(self, tier):
         """Add a tier of which an instance was heard."""
         self.tiers.add(tier)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/membership.py
@@ -86,7 +86,7 @@
         self._has_to_wait = must_wait
         self._notifier = ChangeNotifier(listener=on_change)
         self._left = False
-        self._left_for_good = False
+        self._has_left_permanently = False
         self._pending_joins = set()
         self._is_answered = True
 
@@ -95,7 +95,7 @@
 
         An instance that left for good never rejoins.
         """
-        if self._left_for_good:
+        if self._has_left_permanently:
             return
         self._timers.cancel(self._join_timer)
         if self._left:
@@ -260,7 +260,7 @@
             return False
         return steady_ms() < self.valid_until_ms + grace_ms
 
-    def give_up(self, partition, epoch):
+    def drop_partition(self, partition, epoch):
         """Drop a partition whose epoch was fenced, until a later generation."""
         self._refused_epochs[partition] = max(
             epoch, self._refused_epochs.get(partition, -1)
@@ -273,10 +273,10 @@
         """Return whether a join has no answer yet; the store may still execute it."""
         return bool(self._pending_joins)
 
-    def leave(self, on_done, *, for_good=False):
+    def leave(self, on_done, *, permanent=False):
         """Release all partitions and leave the group."""
         self._left = True
-        self._left_for_good = self._left_for_good or for_good
+        self._has_left_permanently = self._has_left_permanently or permanent
         self._refused_epochs.update(self.epochs)
         self.epochs = {}
         self._send_leave(on_done)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
@@ -54,7 +54,7 @@
         if self.owners.get(owner.cell_index) is owner:
             del self.owners[owner.cell_index]
         partition = self._daemon.layout.partition_of(owner.cell_index)
-        self._daemon.membership.give_up(partition, owner.epoch)
+        self._daemon.membership.drop_partition(partition, owner.epoch)
 
     def on_serving(self):
         """Tell the other instances at once."""
--- a/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
@@ -43,7 +43,7 @@
         return all(self._hears_owner(cell) for cell in cells)
 
     @property
-    def is_isolated(self):
+    def is_disconnected(self):
         """Return whether others can serve requests that this instance cannot.
 
         It has not heard an owner for long enough to be out of rotation, and it does not
--- a/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
@@ -47,7 +47,7 @@
             self._daemon.timers.after(LEAVE_RETRY_MS, self._leave)
             return
         self._has_left = True
-        self._departure.leave("this instance stops", for_good=True)
+        self._departure.leave("this instance stops", permanent=True)
 
     def _should_keep_cells(self):
         """Return whether the cells should be kept for now."""
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
@@ -53,7 +53,7 @@
             if self._instance not in self._group.members:
                 self._group.members.append(self._instance)
 
-    def leave(self, on_done, *, for_good=False):
+    def leave(self, on_done, *, permanent=False):
         """Leave; if the call is lost, the membership lapses instead."""
         self._wants = False
         self.left_at_ms = self._instance.timers.now_ms
@@ -91,7 +91,7 @@
 
     def __init__(self, tiers):
         self.tiers = set(tiers)
-        self.note_tier = self.tiers.add
+        self.add_tier = self.tiers.add
 
     @property
     def best_tier(self):
@@ -107,9 +107,9 @@
     def __init__(self, group, name, tier):
         self.name, self.tier = name, tier
         self.has_store = True
-        self.cut_at_ms = None
+        self.disconnected_at_ms = None
         self.is_up = True
-        self.told = 0
+        self.announcements = 0
         self.has_unstored_records = False
         self.owners = {}
         self.timers = InstanceTimers(group.timers, self)
@@ -155,7 +155,7 @@
         self.updates += 1
 
     def _announce_ends(self):
-        self.told += 1
+        self.announcements += 1
 
     @property
     def _is_serving(self):
@@ -214,35 +214,40 @@
                     sender.name, sender.heartbeat()
                 )
 
-    def lose(self, instances):
+    def stop(self, instances):
         for instance in instances:
             instance.is_up = False
             instance.membership._wants = False
             if instance in self.members:
                 self.members.remove(instance)
 
-    def bring_back(self, instances):
+    def restart(self, instances):
         for instance in instances:
             instance.is_up = True
             instance.standby.on_left()
 
-    def cut_from_store(self, instances):
+    def disconnect_from_store(self, instances):
         """Let the store refuse some instances, so that their memberships lapse."""
         for instance in instances:
             instance.has_store = False
-            instance.cut_at_ms = self.timers.now_ms
+            instance.disconnected_at_ms = self.timers.now_ms
 
     def _lapse(self):
         for instance in list(self.members):
-            cut_at_ms = instance.cut_at_ms or instance.membership.left_at_ms
-            if cut_at_ms is not None and self.timers.now_ms - cut_at_ms > TTL_MS:
+            disconnected_at_ms = (
+                instance.disconnected_at_ms or instance.membership.left_at_ms
+            )
+            if (
+                disconnected_at_ms is not None
+                and self.timers.now_ms - disconnected_at_ms > TTL_MS
+            ):
                 self.members.remove(instance)
 
-    def mend(self, instances):
+    def reconnect_to_store(self, instances):
         """Let the store answer the instances again."""
         for instance in instances:
             instance.has_store = True
-            instance.cut_at_ms = None
+            instance.disconnected_at_ms = None
 
     def run(self, for_ms):
         for _ in range(for_ms // STEP_MS):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -49,7 +49,7 @@
             ttl_ms=1_000.0,
             holds=lambda partition, epoch, grace_ms=0.0: True,
             store_lost=False,
-            give_up=lambda partition, epoch: given_up.append((partition, epoch)),
+            drop_partition=lambda partition, epoch: given_up.append((partition, epoch)),
         ),
         given_up=given_up,
         settings=SimpleNamespace(instance="edge-1", bounds=Bounds()),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
@@ -77,7 +77,7 @@
 
 def test_worker_list_is_not_read_after_leaving(daemon, store):
     daemon.owners[0] = owner = FakeOwner()
-    Departure(daemon=daemon).leave("handed over", for_good=False)
+    Departure(daemon=daemon).leave("handed over", permanent=False)
     assert owner.ended and not daemon.owners and len(store.left) == 1
     assert daemon.wanted[-1] is False
 
@@ -86,14 +86,14 @@
     owners = [FakeOwner(fails=True), FakeOwner()]
     daemon.owners.update(enumerate(owners))
     with pytest.raises(RuntimeError):  # the timers log it
-        Departure(daemon=daemon).leave("handed over", for_good=False)
+        Departure(daemon=daemon).leave("handed over", permanent=False)
     assert all(owner.ended for owner in owners)
     assert not daemon.owners and len(store.left) == 1
     assert daemon.wanted[-1] is False
 
 
 def test_instance_that_left_for_good_does_not_rejoin(membership, store, timers):
-    membership.leave(lambda answer: None, for_good=True)
+    membership.leave(lambda answer: None, permanent=True)
     membership.start()
     timers.run(2_000)
     assert not store.joins
@@ -118,7 +118,7 @@
     membership, store, timers
 ):
     membership.start()
-    membership.leave(lambda answer: None, for_good=True)
+    membership.leave(lambda answer: None, permanent=True)
     assert len(store.left) == 1
     answer(store, 0)
     assert len(store.left) == 2
@@ -165,6 +165,6 @@
     standby_of, membership, store, timers
 ):
     standby_of(lambda: False)
-    membership.leave(lambda answer: None, for_good=True)
+    membership.leave(lambda answer: None, permanent=True)
     timers.run(2_200)
     assert not store.joins
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_frontend_keys.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_frontend_keys.py
@@ -79,7 +79,7 @@
         ),
         metrics=FakeMetrics(),
         gateway=FakeGateway(),
-        readiness=SimpleNamespace(is_isolated=False),
+        readiness=SimpleNamespace(is_disconnected=False),
         configuration=configuration(a=KEY, b=OTHER_KEY),
     )
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
@@ -104,7 +104,7 @@
         next_owner=links[NEXT_OWNER],
         timers=timers,
         metrics=FakeMetrics(),
-        readiness=SimpleNamespace(is_isolated=False),
+        readiness=SimpleNamespace(is_disconnected=False),
         settings=SimpleNamespace(peer=Address(host="10.0.0.1", port=7000)),
     )
 
@@ -207,7 +207,7 @@
 
 
 def test_isolated_instance_refuses_at_once(daemon, timers):
-    daemon.readiness.is_isolated = True
+    daemon.readiness.is_disconnected = True
     _, replies = ask(daemon, timers)
     timers.run(10)
     assert replies[0].outcome is fx.Outcome.REFUSED
@@ -216,7 +216,7 @@
 def test_request_in_doubt_waits_on_an_isolated_instance(daemon, timers):
     daemon.directory.known[0] = OWNER
     gateway, replies = ask(daemon, timers)
-    daemon.readiness.is_isolated = True
+    daemon.readiness.is_disconnected = True
     gateway.on_link_broken(daemon.link)
     timers.run(1_000)
     assert not replies
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
@@ -67,7 +67,7 @@
 
 
 def test_the_next_tier_stands_in_within_the_standby_s_time(group):
-    group.lose(group.of(Tier.FULL))
+    group.stop(group.of(Tier.FULL))
     group.run(int(BETTER_TIER_RETURN_MS) - 100)
     assert not group.members
     group.run(int(JOIN_JITTER_MS) + 300)
@@ -77,20 +77,20 @@
 
 
 def test_the_least_stand_in_where_nobody_else_is_left(group):
-    group.lose(group.of(Tier.FULL) + group.of(Tier.PARTIAL))
+    group.stop(group.of(Tier.FULL) + group.of(Tier.PARTIAL))
     group.run(int(BETTER_TIER_RETURN_MS + NEXT_TIER_MS + JOIN_JITTER_MS) + 300)
     assert group.owner.tier is Tier.LEAST
 
 
 def test_better_ones_that_return_get_the_cell_once(group):
     full = group.of(Tier.FULL)
-    group.lose(full)
+    group.stop(full)
     group.run(8_000)
     stand_in = group.owner
-    group.bring_back(full)
+    group.restart(full)
     group.run(6_000)
     assert group.owner in full
-    assert stand_in.told == 1  # what it had heard and not stored went along
+    assert stand_in.announcements == 1  # what it had heard and not stored went along
     assert {member.tier for member in group.members} == {Tier.FULL}
     seen = len(group.owners_seen)
     group.run(30_000)
@@ -98,7 +98,7 @@
 
 
 def test_a_middle_tier_takes_over_from_the_least(group):
-    group.lose(group.of(Tier.FULL) + group.of(Tier.PARTIAL))
+    group.stop(group.of(Tier.FULL) + group.of(Tier.PARTIAL))
     group.run(9_000)
     assert group.owner.tier is Tier.LEAST
     group.instances[2].is_up = True  # a middle one, which stands by
@@ -109,9 +109,9 @@
 def test_better_ones_that_come_and_go_are_followed_ever_more_seldom(group):
     full = group.of(Tier.FULL)
     for _ in range(10):
-        group.lose(full)
+        group.stop(full)
         group.run(8_000)
-        group.bring_back(full)
+        group.restart(full)
         group.run(3_000)
     assert len(group.handovers) <= 4
     group.run(60_000)
@@ -121,15 +121,15 @@
 @pytest.mark.parametrize("without_store", ["stand_in", "better"])
 def test_nothing_is_handed_over_while_the_store_is_away(group, without_store):
     full = group.of(Tier.FULL)
-    group.lose(full)
+    group.stop(full)
     group.run(8_000)
     stand_in = group.owner
-    group.bring_back(full)
+    group.restart(full)
     away = [stand_in] if without_store == "stand_in" else full
     for instance in away:
         instance.has_store = False
     group.run(10_000)
-    assert group.owner is stand_in and not stand_in.told
+    assert group.owner is stand_in and not stand_in.announcements
     for instance in away:
         instance.has_store = True
     group.run(8_000)
@@ -138,17 +138,17 @@
 
 def test_a_handover_waits_for_what_is_not_stored_and_ends_with_the_store(group):
     full = group.of(Tier.FULL)
-    group.lose(full)
+    group.stop(full)
     group.run(8_000)
     stand_in = group.owner
     stand_in.owners[0].has_unstored_records = True
-    group.bring_back(full)
+    group.restart(full)
     run_until_it_leaves(group, stand_in)
     group.run(100)
     assert group.owner is stand_in
     stand_in.has_store = False
     group.run(3_000)
-    assert group.owner is stand_in and not stand_in.told
+    assert group.owner is stand_in and not stand_in.announcements
 
 
 def test_an_overloaded_owner_gives_its_cell_to_one_of_its_rank(group):
@@ -194,7 +194,7 @@
 def test_peers_that_know_no_tiers_are_left_alone(group):
     """In a roll old instances tell none; nobody leaves the group for them."""
     stand_in = group.of(Tier.PARTIAL)[0]
-    group.lose(group.of(Tier.FULL))
+    group.stop(group.of(Tier.FULL))
     group.run(8_000)
     stand_in = group.owner
     message = Heartbeat(owned=[], config_version=1, leaving=False, in_group=True)
@@ -206,10 +206,10 @@
 
 def test_better_instances_that_are_added_later_take_over_for_good(timers, shares):
     group = SimulatedGroup(timers, known={Tier.LEAST, Tier.PARTIAL})
-    group.lose(group.of(Tier.FULL))
+    group.stop(group.of(Tier.FULL))
     group.run(10_000)
     assert {member.tier for member in group.members} == {Tier.PARTIAL}
-    group.bring_back(group.of(Tier.FULL))
+    group.restart(group.of(Tier.FULL))
     group.run(8_000)
     for _ in range(30):
         assert {member.tier for member in group.members} == {Tier.FULL}
@@ -223,10 +223,10 @@
     group.run(3_000)
     first = group.owner
     cut = [first, group.of(Tier.PARTIAL)[0], *group.of(Tier.LEAST)[:2]]
-    group.cut_from_store(cut)
+    group.disconnect_from_store(cut)
     group.run(9_000)
     assert group.owner.tier is Tier.FULL and group.owner is not first
-    group.mend(cut)
+    group.reconnect_to_store(cut)
     group.run(10_000)
     seen = [owner.tier for owner in group.owners_seen if owner is not None]
     assert set(seen) == {Tier.FULL}
@@ -248,18 +248,18 @@
 
 def test_a_handover_is_given_up_when_the_better_ones_go_while_it_waits(group):
     full = group.of(Tier.FULL)
-    group.lose(full)
+    group.stop(full)
     group.run(8_000)
     stand_in = group.owner
     stand_in.owners[0].has_unstored_records = True
-    group.bring_back(full)
+    group.restart(full)
     run_until_it_leaves(group, stand_in)
-    group.lose(full)
+    group.stop(full)
     for _ in range(20):
         for instance in full:  # their links broke
             stand_in.peers.member_statuses.forget(instance.name)
         group.run(50)
-    assert group.owner is stand_in and not stand_in.told
+    assert group.owner is stand_in and not stand_in.announcements
     assert ("owner_handovers_given_up", "better_tier") in stand_in.metrics.counts
 
 
@@ -277,14 +277,14 @@
 def test_a_stand_in_whose_takeover_takes_long_leaves_it_to_better_ones(group):
     """It reads the whole cell over a narrow link while they are back."""
     full = group.of(Tier.FULL)
-    group.lose(full)
+    group.stop(full)
     for instance in group.of(Tier.PARTIAL):
         instance.takes_over_slowly = True
     group.run(5_500)
     stand_in = group.owner
     assert stand_in.tier is Tier.PARTIAL
     assert not stand_in.owners[0].is_serving
-    group.bring_back(full)
+    group.restart(full)
     group.run(8_000)
     assert group.owner in full
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
@@ -86,7 +86,7 @@
     membership = make()
     membership.start()
     answer_join(store, 3, 7)
-    membership.give_up(7, 3)
+    membership.drop_partition(7, 3)
     answer_join(store, 3, 7)
     assert 7 not in membership.epochs
     timers.run(300)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
@@ -38,11 +38,11 @@
     daemon.hears = daemon.can_read_store = False
     assert not readiness.check()
     timers.run(2_400)
-    assert not readiness.is_isolated
+    assert not readiness.is_disconnected
     timers.run(200)
-    assert readiness.is_isolated
+    assert readiness.is_disconnected
     daemon.hears = True
-    assert readiness.check() and not readiness.is_isolated
+    assert readiness.check() and not readiness.is_disconnected
 
 
 def test_instance_that_reads_the_store_is_not_isolated(daemon, timers):
@@ -50,7 +50,7 @@
     daemon.hears = False
     readiness.check()
     timers.run(5_000)
-    assert not readiness.is_isolated
+    assert not readiness.is_disconnected
 
 
 def test_instance_is_not_ready_while_its_owner_lacks_the_store(daemon, timers):
@@ -60,7 +60,7 @@
     assert not readiness.check()
     timers.run(5_000)
     # In an outage for all, retrying at once would use up the callers' retries.
-    assert not readiness.is_isolated
+    assert not readiness.is_disconnected
 
 
 @pytest.mark.parametrize("store_lost", [True, False])
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
@@ -48,7 +48,7 @@
         gateway=SimpleNamespace(open_requests=0),
         membership=SimpleNamespace(
             store_lost=False,
-            leave=lambda on_done, *, for_good: log.append("left"),
+            leave=lambda on_done, *, permanent: log.append("left"),
         ),
         owned_cells=SimpleNamespace(update=lambda: None),
         peers=SimpleNamespace(send_heartbeats=lambda: None),
@@ -124,8 +124,8 @@
     patch_clock(monkeypatch, timers, shutdown_module)
     left = []
 
-    def leave(on_done, *, for_good):
-        left.append(for_good)
+    def leave(on_done, *, permanent):
+        left.append(permanent)
 
     daemon = SimpleNamespace(
         owners={},
