--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -88,7 +88,7 @@
         )
         self.readiness = Readiness(daemon=self)
         self.gateway = Gateway(daemon=self)
-        self.front = Frontend(daemon=self)
+        self.frontend = Frontend(daemon=self)
         self._ready_server = HttpServer(
             sockets=self.sockets,
             timers=self.timers,
@@ -154,7 +154,7 @@
             timers=self.timers,
             own_id=self.membership.member_id,
             partition_of=self.layout.partition_of,
-            on_change=self._on_owners,
+            on_change=self._on_owners_changed,
             on_removed=self.membership.join_now,
         )
         self.standby = Standby(
@@ -236,14 +236,14 @@
         self.owned_cells.update()
         self.standby.check()
 
-    def _on_owners(self):
+    def _on_owners_changed(self):
         """Have former incarnations of this instance removed from the group."""
         if not self._former_incarnations_marked:
             self._former_incarnations_marked = True
             self.directory.remove_dead(self.settings.peer)
 
     def _on_configuration(self, configuration):
-        self.front.on_configuration(configuration)
+        self.frontend.on_configuration(configuration)
         self.owned_cells.on_configuration(configuration)
 
     def _on_ready_request(self, request):
--- a/packages/thymefork-daemon/src/thymefork_daemon/dead_members.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/dead_members.py
@@ -26,7 +26,7 @@
     """Track which addresses were marked dead and the removal of their members.
 
     A mark expires after a moment, or once the member is out. Former incarnations of
-    this instance are dead for good.
+    this instance stay dead.
     """
 
     def __init__(self, *, own_id):
@@ -73,7 +73,7 @@
         self._leaves[member_id].done_ms = now_ms
 
     def _is_dead(self, address, now_ms):
-        told_ms = self._marked_ms.get(address, NEVER_MS)
+        marked_ms = self._marked_ms.get(address, NEVER_MS)
         if address == self._own_address:
-            return told_ms > NEVER_MS
-        return now_ms < told_ms + DEAD_MARK_TTL_MS
+            return marked_ms > NEVER_MS
+        return now_ms < marked_ms + DEAD_MARK_TTL_MS
--- a/packages/thymefork-daemon/src/thymefork_daemon/departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/departure.py
@@ -12,7 +12,7 @@
 
 
 class Departure:
-    """Release all cells at once and leave the group, for a while or for good."""
+    """Release all cells at once and leave the group, temporarily or permanently."""
 
     def __init__(self, *, daemon):
         self._daemon = daemon
--- a/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
@@ -63,26 +63,26 @@
             self._refuse_key(request)
             return
         try:
-            wanted = CallerRequests.read(request, queue.path_prefix)
+            operation = CallerRequests.read(request, queue.path_prefix)
         except ThymeforkError as failure:
-            self._refuse_bad(request, failure)
+            self._refuse_invalid(request, failure)
             return
         account_name = account.name if account is not None else ""
-        self._forward(request, queue, wanted, account_name)
+        self._forward(request, queue, operation, account_name)
 
     def _refuse_key(self, request):
         reason = "unknown_key" if CallerRequests.key_of(request) else "no_key"
         self._daemon.metrics.count("refusals", reason)
         CallerRequests.refuse(request, 401, reason=reason)
 
-    def _refuse_bad(self, request, failure):
+    def _refuse_invalid(self, request, failure):
         self._daemon.metrics.count("refusals", f"bad_request_{failure.status}")
         line = logger.bind(event="bad_request", path=request.path)
         line.info("rejected an invalid request: {}", failure)
         CallerRequests.refuse(request, failure.status, reason=str(failure))
 
-    def _forward(self, request, queue, wanted, account_name):
-        data = encode_spec(wanted.spec) if wanted.spec is not None else b""
+    def _forward(self, request, queue, operation, account_name):
+        data = encode_spec(operation.spec) if operation.spec is not None else b""
         if (
             len(data) + RECORD_MARGIN_BYTES
             > self._daemon.settings.store.most_record_bytes
@@ -91,13 +91,13 @@
             request.answer(413)
             return
         deadline_ms = request.arrived_ms + self._timeout_ms(request)
-        self._daemon.metrics.count("requests", wanted.kind)
+        self._daemon.metrics.count("requests", operation.kind)
 
         def respond(reply):
             took_ms = steady_ms() - request.arrived_ms
-            self._daemon.metrics.observe("request", took_ms, kind=wanted.kind)
+            self._daemon.metrics.observe("request", took_ms, kind=operation.kind)
             if reply.outcome in (Outcome.REFUSED, Outcome.IN_DOUBT):
-                _log_refusal(wanted, queue, reply, took_ms)
+                _log_refusal(operation, queue, reply, took_ms)
             if (
                 reply.outcome == Outcome.REFUSED
                 and self._daemon.readiness.is_disconnected
@@ -108,9 +108,9 @@
             CallerRequests.answer(request, reply)
 
         self._daemon.gateway.request(
-            wanted.kind,
+            operation.kind,
             queue.name,
-            wanted.job_id,
+            operation.job_id,
             data,
             deadline_ms,
             respond,
@@ -123,12 +123,12 @@
         return max(ANSWER_MARGIN_MS, requested_ms - ANSWER_MARGIN_MS)
 
 
-def _log_refusal(wanted, queue, reply, took_ms):
+def _log_refusal(operation, queue, reply, took_ms):
     """Log a request that was refused or whose outcome is unknown, with its job."""
     logger.bind(
         event="request_refused",
-        job=wanted.job_id,
-        kind=wanted.kind,
+        job=operation.job_id,
+        kind=operation.kind,
         queue=queue.name,
         outcome=str(reply.outcome),
         retry_after_ms=reply.retry_after_ms,
--- a/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
@@ -22,7 +22,7 @@
 # A request whose outcome is unknown cannot be retried safely by its caller, so it waits
 # longer: until the next owner serves, also where the membership has to lapse first.
 FIND_NEXT_OWNER_MS = 1_600.0
-# Poll period for requests that a former owner of a cell owned here has left pending.
+# Poll period for pending requests of cells that have since come to this instance.
 OWN_CELLS_CHECK_MS = 100.0
 # Typical duration of a takeover.
 NO_OWNER_RETRY_MS = 1_000
@@ -144,10 +144,10 @@
         self._set_timer(pending, pending.left_ms(), action)
 
     def _await_owner(self, call_id, pending):
-        is_hopeless = (
+        cannot_find_owner = (
             not pending.open_attempts and self._daemon.readiness.is_disconnected
         )
-        if steady_ms() < pending.find_until_ms and not is_hopeless:
+        if steady_ms() < pending.find_until_ms and not cannot_find_owner:
             self._set_timer(pending, RETRY_PERIOD_MS, lambda: self._send(call_id))
         else:
             self._give_up(call_id, "no_owner")
@@ -271,7 +271,7 @@
                 self._resend_to_new_owner(owner)
 
     def _resend_to_own_cells(self):
-        """Resend pending requests for cells that are owned here since."""
+        """Resend pending requests for cells that have since come to this instance."""
         for cell in list(self._daemon.owners):
             owner = self._routes.local_owner(cell)
             if owner is not None:
--- a/packages/thymefork-daemon/src/thymefork_daemon/membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/membership.py
@@ -93,7 +93,7 @@
     def start(self):
         """Join and keep renewing; after a leave, join as a new member.
 
-        An instance that left for good never rejoins.
+        An instance that left permanently never rejoins.
         """
         if self._has_left_permanently:
             return
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
@@ -11,7 +11,7 @@
 CHECK_MS = 50.0
 # Four missed heartbeats; well below the time after which a membership lapses.
 OWNER_TIMEOUT_MS = 450.0
-# A member that hears fewer of its peers than this is probably isolated itself.
+# A member that hears fewer of its peers than this is probably disconnected itself.
 MIN_HEARD_SHARE = 0.5
 # When members join after an eviction: the first join of the new owner, and a second
 # one for members that noticed the silence a few checks later.
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -20,7 +20,7 @@
 
 __all__ = ["PeerDispatcher"]
 
-# Links of a group member beside those to owners. They let it tell a silent owner
+# Links of a group member beside those to owners. They distinguish a silent owner
 # from a network partition of its own. Others evict nobody and need none.
 NEIGHBOUR_LINKS = 3
 # How often the group is read while too few members are known; a new member may have
@@ -143,7 +143,7 @@
         elif isinstance(message, CallerReply):
             self._daemon.gateway.on_caller_reply(message)
         elif isinstance(message, AdviceRequest):
-            self._advise(link, message)
+            self._on_advice_request(link, message)
         elif isinstance(message, AdviceReply):
             self._on_advice_reply(message)
         elif isinstance(message, EndsHeard):
@@ -225,7 +225,7 @@
         released_ms = self._released_ms.get(link, float("-inf"))
         return not message.in_group and steady_ms() - released_ms < MAX_LEAVE_MS
 
-    def _advise(self, link, message):
+    def _on_advice_request(self, link, message):
         call = (link, message.call_id)
         self._open_advice_calls.add(call)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
@@ -44,7 +44,7 @@
 
     @property
     def is_disconnected(self):
-        """Return whether others can serve requests that this instance cannot.
+        """Return whether this instance alone cannot serve requests.
 
         It has not heard an owner for long enough to be out of rotation, and it does not
         reach the store, which would answer if there were merely no owners.
@@ -66,7 +66,7 @@
     def _owner_has_store(self, cell):
         """Return whether a cell's owner reaches the store and can accept requests.
 
-        An owner isolated with its hall still serves reads; callers are sent to other
+        An owner disconnected with its hall still serves reads; callers go to other
         halls once no instance of theirs is ready.
         """
         if cell in self._daemon.owners:
--- a/packages/thymefork-daemon/src/thymefork_daemon/request_attempts.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/request_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts to hand a request to an owner whose outcome is unknown."""
+"""Attempts to send a request that an owner may have received."""
 
 from attrs import define, field, frozen
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True, eq=False)
 class _Attempt:
-    """Hold one attempt: a local call, or bytes on a link from an offset on.
+    """Hold one attempt: a local call, or a message that starts at a link's byte offset.
 
     `call_id` is the id that an answer to it names.
     """
@@ -34,7 +34,7 @@
         )
 
     def on_not_owner(self, call_id):
-        """Remove the last attempt with a call id: it did not reach the owner."""
+        """Remove the last attempt with a call id: its receiver was not the owner."""
         for row in reversed(self._open):
             if row.call_id == call_id:
                 self._open.remove(row)
--- a/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
@@ -39,7 +39,7 @@
         self._began_ms = steady_ms()
         owns = sorted(self._daemon.owners)
         logger.bind(event="stopping", owns=owns).info("shutdown requested")
-        self._daemon.front.server.drain()
+        self._daemon.frontend.server.drain()
         self._leave()
 
     def _leave(self):
@@ -73,7 +73,9 @@
         if not self.has_begun:
             return False
         daemon, spent_ms = self._daemon, steady_ms() - self._began_ms
-        open_count = daemon.front.server.open_requests or daemon.gateway.open_requests
+        open_count = (
+            daemon.frontend.server.open_requests or daemon.gateway.open_requests
+        )
         is_timed_out = spent_ms > daemon.settings.stop_grace_ms - STOP_MARGIN_MS
         is_done = self._has_left and not open_count
         if is_timed_out or (spent_ms > MIN_STOP_MS and is_done):
--- a/packages/thymefork-daemon/src/thymefork_daemon/standby.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/standby.py
@@ -28,8 +28,8 @@
     """Join at once, or in place of better members that are missing.
 
     `owner_tier()` is the best tier among the owners that are heard, None if unknown.
-    `cooldown_until_ms()` is until when an instance that handed over stays out. An instance
-    that is stopping does not join.
+    `cooldown_until_ms()` is until when an instance that handed over stays out of the
+    group. An instance that is stopping does not join.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._layout = layout
         self._tier = tier
         self._owner_tier = owner_tier
-        self._rest_until_ms = cooldown_until_ms
+        self._cooldown_until_ms = cooldown_until_ms
         self._is_stopping = is_stopping
         self._jitter_ms = random.uniform(0.0, JOIN_JITTER_MS)
         self._missing_since_ms = None
@@ -72,10 +72,10 @@
         """Join if the conditions for it are met."""
         if self._is_stopping() or self._has_joined or not self._layout.cells:
             return
-        if self._is_regular_member() and steady_ms() >= self._rest_until_ms():
+        if self._is_regular_member() and steady_ms() >= self._cooldown_until_ms():
             self._join("none is better")
             return
-        if self._is_resting():
+        if self._is_cooling_down():
             return
         if not self._members_are_missing():
             self._missing_since_ms = None
@@ -89,10 +89,10 @@
         else:
             self._directory.refresh()  # another instance may have joined
 
-    def _is_resting(self):
+    def _is_cooling_down(self):
         """Return whether this instance handed over recently and other members exist."""
         return bool(self._directory.member_count) and (
-            steady_ms() < self._rest_until_ms()
+            steady_ms() < self._cooldown_until_ms()
         )
 
     def _is_regular_member(self):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
@@ -118,7 +118,8 @@
         self.capacity = SimpleNamespace(tier=tier)
         self.owner_load = SimpleNamespace(load=OwnerLoad(link_mbps=0.0))
         self.peers = SimpleNamespace(
-            member_statuses=MemberStatuses(), send_heartbeats=lambda: group.beat(self)
+            member_statuses=MemberStatuses(),
+            send_heartbeats=lambda: group.broadcast_heartbeat(self),
         )
         self.layout = FakeLayout(group.known)
         self.directory = SimpleNamespace(
@@ -207,7 +208,7 @@
             if name == "owner_handovers"
         ]
 
-    def beat(self, sender):
+    def broadcast_heartbeat(self, sender):
         for other in self.instances:
             if other is not sender and other.is_up and sender.is_up:
                 other.peers.member_statuses.on_heartbeat(
@@ -259,6 +260,6 @@
             self._lapse()
             if self.timers.now_ms % HEARTBEAT_MS < STEP_MS:
                 for instance in self.instances:
-                    self.beat(instance)
+                    self.broadcast_heartbeat(instance)
             if not self.owners_seen or self.owners_seen[-1] is not self.owner:
                 self.owners_seen.append(self.owner)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_change_notifier.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_change_notifier.py
@@ -9,31 +9,31 @@
 
 def test_nothing_is_notified_without_a_change():
     notifications = []
-    ChangeNotifier(listener=notifications.append).notify("news")
+    ChangeNotifier(listener=notifications.append).notify("change")
     assert not notifications
 
 
 def test_listener_that_raised_is_notified_again():
     listener = FailsOnceListener()
-    news = ChangeNotifier(listener=listener)
-    news.mark_changed()
+    notifier = ChangeNotifier(listener=listener)
+    notifier.mark_changed()
     with pytest.raises(RuntimeError):
-        news.notify("news")
+        notifier.notify("change")
     for _ in range(2):
-        news.notify("later news")
-    assert listener.notifications == ["later news"]
+        notifier.notify("later change")
+    assert listener.notifications == ["later change"]
 
 
 def test_change_caused_by_the_listener_is_notified():
     notifications = []
 
-    def listener(news):
-        notifications.append(news)
+    def listener(change):
+        notifications.append(change)
         if len(notifications) == 1:
             notifier.mark_changed()
 
     notifier = ChangeNotifier(listener=listener)
     notifier.mark_changed()
-    for news in ("first", "second", "third"):
-        notifier.notify(news)
+    for change in ("first", "second", "third"):
+        notifier.notify(change)
     assert notifications == ["first", "second"]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
@@ -32,7 +32,7 @@
 
     def announce_ends(self):
         if self._fails:
-            raise RuntimeError("its ends can't be told")
+            raise RuntimeError("run ends not announced")
 
     def end(self, reason):
         self.ended = True
@@ -92,7 +92,7 @@
     assert daemon.wanted[-1] is False
 
 
-def test_instance_that_left_for_good_does_not_rejoin(membership, store, timers):
+def test_instance_that_left_permanently_does_not_rejoin(membership, store, timers):
     membership.leave(lambda answer: None, permanent=True)
     membership.start()
     timers.run(2_000)
@@ -161,7 +161,7 @@
     assert bool(store.joins) is not is_stopping
 
 
-def test_standby_does_not_join_after_leaving_for_good(
+def test_standby_does_not_join_after_leaving_permanently(
     standby_of, membership, store, timers
 ):
     standby_of(lambda: False)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
@@ -206,14 +206,14 @@
     assert len(daemon.next_owner.sent) == 1
 
 
-def test_isolated_instance_refuses_at_once(daemon, timers):
+def test_disconnected_instance_refuses_at_once(daemon, timers):
     daemon.readiness.is_disconnected = True
     _, replies = ask(daemon, timers)
     timers.run(10)
     assert replies[0].outcome is fx.Outcome.REFUSED
 
 
-def test_request_in_doubt_waits_on_an_isolated_instance(daemon, timers):
+def test_request_in_doubt_waits_on_a_disconnected_instance(daemon, timers):
     daemon.directory.known[0] = OWNER
     gateway, replies = ask(daemon, timers)
     daemon.readiness.is_disconnected = True
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
@@ -143,7 +143,7 @@
 
 
 def test_local_owner_that_ended_before_storing_causes_no_doubt(daemon, timers):
-    """The owner replies so for a request that it never began to store."""
+    """It replies NOT_OWNER to a request that it never began to store."""
     daemon.owners[0] = owner = FakeOwner()
     _, replies = ask(daemon, timers)
     daemon.owners.clear()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_heard_end_buffer.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_heard_end_buffer.py
@@ -157,7 +157,7 @@
 
 def test_heartbeat_and_ends_heard_survive_the_codec():
     owned = [OwnedCell(cell=0, epoch=1)]
-    beat = Heartbeat(owned=owned, config_version=1, leaving=False)
-    assert decode(encode(beat), peer="edge-1").owned == owned
+    heartbeat = Heartbeat(owned=owned, config_version=1, leaving=False)
+    assert decode(encode(heartbeat), peer="edge-1").owned == owned
     message = EndsHeard(cell=0, epoch=1, ends=[])
     assert decode(encode(message), peer="edge-1").epoch == 1
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_member_statuses.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_member_statuses.py
@@ -10,14 +10,16 @@
 CLOCK_MODULES = (member_statuses_module,)
 
 
-def heartbeat(*, owns=False, in_group=True, store_lost=False, leaving=False, **told):
+def heartbeat(
+    *, owns=False, in_group=True, store_lost=False, leaving=False, **reported
+):
     return Heartbeat(
         owned=[OwnedCell(cell=0, epoch=1)] if owns else [],
         config_version=1,
         leaving=leaving,
         in_group=in_group,
         store_lost=store_lost,
-        **told,
+        **reported,
     )
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
@@ -29,7 +29,7 @@
         ),
         links=SimpleNamespace(
             is_silent=lambda address, ms: timers.now_ms - heard_ms[address] >= ms,
-            heard_share=lambda ms: daemon.heard_share_value,
+            heard_share=lambda ms: daemon.heard_share_of_peers,
         ),
         membership=SimpleNamespace(
             is_healthy=True,
@@ -47,7 +47,7 @@
         **capacity_attributes(),
         heard_ms=heard_ms,
         evicted=evicted,
-        heard_share_value=0.9,
+        heard_share_of_peers=0.9,
     )
     daemon.watch = OwnerWatch(daemon=daemon)
     return daemon
@@ -92,8 +92,8 @@
     assert not daemon.evicted
 
 
-def test_isolated_instance_evicts_nobody(daemon, timers):
-    daemon.heard_share_value = 0.3
+def test_disconnected_instance_evicts_nobody(daemon, timers):
+    daemon.heard_share_of_peers = 0.3
     timers.run(2_000)
     assert not daemon.evicted
 
@@ -196,7 +196,7 @@
 
 
 def test_members_keep_links_to_other_members(timers):
-    """Guards against a group in which nobody can judge the first owner's silence."""
+    """Guards against a group in which nobody can evict the first owner."""
     own = Address(host="10.0.0.1", port=7000)
     others = {Address(host=f"10.0.0.{n}", port=7000) for n in range(2, 9)}
     opened = set()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -63,15 +63,15 @@
 
 def test_all_owners_are_notified_of_links_though_cells_are_lost(daemon):
     """Handling a broken link may lose a cell."""
-    told = []
+    observed = []
     for cell in (0, 1, 2):
         daemon.owners[cell] = SimpleNamespace(
             on_links_changed=lambda cell=cell: (
-                told.append(cell) or daemon.owners.pop(cell)
+                observed.append(cell) or daemon.owners.pop(cell)
             )
         )
     PeerDispatcher(daemon=daemon).on_message(None, Hello(instance="edge-0"))
-    assert told == [0, 1, 2]
+    assert observed == [0, 1, 2]
 
 
 def make_daemon(timers, *, in_group, opened, asked=None):
@@ -225,8 +225,8 @@
     daemon.membership.round_trip_ms = 3.0
     link = RecordingLink(daemon.directory.owner_of(0))
     daemon.peers.withdraw_advice(link, [5])
-    told = [message.withdrawn_calls for message in link.sent]
-    assert told == ([[5]] if cells > 1 else [])
+    observed = [message.withdrawn_calls for message in link.sent]
+    assert observed == ([[5]] if cells > 1 else [])
 
 
 def test_new_member_gets_all_learned_speeds_once(timers):
@@ -246,9 +246,9 @@
     for _ in range(3):
         dispatcher.on_message(link, message)
         timers.run(300)
-    told = [heartbeat.speeds for heartbeat in link.sent]
-    assert told[0] == ["all"]
-    assert len(told) > 3 and not any(told[1:])
+    observed = [heartbeat.speeds for heartbeat in link.sent]
+    assert observed[0] == ["all"]
+    assert len(observed) > 3 and not any(observed[1:])
 
 
 @pytest.mark.parametrize("in_group_after, hurries", [(False, 2), (True, 1)])
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""Readiness of instances, and when isolated ones send callers elsewhere."""
+"""Readiness of instances, and when disconnected ones send callers elsewhere."""
 
 from types import SimpleNamespace
 
@@ -32,8 +32,8 @@
     assert Readiness(daemon=daemon).check()
 
 
-def test_instance_without_owners_and_store_is_isolated(daemon, timers):
-    """Guards against callers that return to an isolated hall."""
+def test_instance_without_owners_and_store_is_disconnected(daemon, timers):
+    """Guards against callers that return to a disconnected hall."""
     readiness = Readiness(daemon=daemon)
     daemon.hears = daemon.can_read_store = False
     assert not readiness.check()
@@ -45,7 +45,7 @@
     assert readiness.check() and not readiness.is_disconnected
 
 
-def test_instance_that_reads_the_store_is_not_isolated(daemon, timers):
+def test_instance_that_reads_the_store_is_not_disconnected(daemon, timers):
     readiness = Readiness(daemon=daemon)
     daemon.hears = False
     readiness.check()
@@ -54,7 +54,7 @@
 
 
 def test_instance_is_not_ready_while_its_owner_lacks_the_store(daemon, timers):
-    """Guards against an isolated hall that stays in rotation with its owner."""
+    """Guards against a disconnected hall that stays in rotation with its owner."""
     readiness = Readiness(daemon=daemon)
     daemon.owner_has_store = daemon.can_read_store = False
     assert not readiness.check()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
@@ -27,7 +27,7 @@
         self._log = log
 
     def announce_ends(self):
-        self._log.append("told")
+        self._log.append("announced")
 
     def end(self, reason):
         self.ended = True
@@ -42,7 +42,7 @@
         owners={0: FakeOwner(log)},
         timers=timers,
         settings=SimpleNamespace(stop_grace_ms=GRACE_MS),
-        front=SimpleNamespace(
+        frontend=SimpleNamespace(
             server=SimpleNamespace(drain=lambda: None, open_requests=0)
         ),
         gateway=SimpleNamespace(open_requests=0),
@@ -105,7 +105,7 @@
     daemon.membership.store_lost = True
     daemon.shutdown.begin()
     timers.run(GRACE_MS - 600)
-    assert daemon.log[:2] == ["told", "ended"]
+    assert daemon.log[:2] == ["announced", "ended"]
     timers.run(200)
     assert daemon.shutdown.is_complete()
 
@@ -131,7 +131,7 @@
         owners={},
         timers=timers,
         settings=SimpleNamespace(stop_grace_ms=GRACE_MS),
-        front=SimpleNamespace(server=SimpleNamespace(drain=lambda: None)),
+        frontend=SimpleNamespace(server=SimpleNamespace(drain=lambda: None)),
         membership=SimpleNamespace(store_lost=True, leave=leave),
         owned_cells=SimpleNamespace(update=lambda: None),
     )
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
@@ -171,8 +171,8 @@
             fx.Reply(request_id=replies.append, outcome=fx.Outcome.COUNTED),
         ]
     )
-    told = [line["event"] for line in read(pipe)]
-    assert told == ["job_ended", "worker_unreadable"]
+    events = [line["event"] for line in read(pipe)]
+    assert events == ["job_ended", "worker_unreadable"]
     assert replies
     assert b'thymefork_owner_shed_total{reason="log_lines"} 1.0' in metrics.text()
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
@@ -77,7 +77,7 @@
             self._timers.after(REREGISTRATION_MS, self._drop_lapsed)
         self._answered_ms = now_ms
 
-    def _settle(self, before):
+    def _update_entries(self, before):
         """Publish the list; keep vanished entries while workers may re-register."""
         if steady_ms() < self._reregistration_until_ms:
             gone = before.keys() - self._listed.keys()
@@ -133,7 +133,7 @@
         before, self._listed = self._listed, found
         self.is_complete = True
         self._schedule(lambda: self._follow(offset))
-        self._settle(before)
+        self._update_entries(before)
 
     def _follow(self, offset):
         sent_ms = steady_ms()
@@ -155,7 +155,7 @@
         for record in result.records:
             self._apply(self._listed, record)
         self._schedule(lambda: self._follow(result.next_offset))
-        self._settle(before)
+        self._update_entries(before)
 
     def _apply(self, entries, record):
         """Apply a record; an invalid one removes the entry until it is rewritten.
