--- a/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
@@ -192,7 +192,7 @@
             wanted,
             approval_rate=self._shares.rate_of(step.job.queue_name),
             waited_ms=step.longest_wait_ms(now_ms),
-            most=MOST_WORKERS,
+            max_workers=MOST_WORKERS,
             lateness=lateness,
         )
 
--- a/packages/thymefork-cells/src/thymefork_cells/advice/worker_selection.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/worker_selection.py
@@ -55,7 +55,15 @@
 
 
 def choose_workers(
-    step, with_room, others, wanted, *, approval_rate, waited_ms, most, lateness=None
+    step,
+    with_room,
+    others,
+    wanted,
+    *,
+    approval_rate,
+    waited_ms,
+    max_workers,
+    lateness=None,
 ):
     """Return workers with room for the wanted tasks by the share that is allowed.
 
@@ -71,7 +79,7 @@
     fewest = FEWEST_WORKERS * wider
     chosen, covered = [], 0
     for worker in _ranked(step, with_room, others, lateness):
-        if len(chosen) == most or (covered >= target and len(chosen) >= fewest):
+        if len(chosen) == max_workers or (covered >= target and len(chosen) >= fewest):
             break
         chosen.append(worker)
         covered += max(1, task_capacity(worker, step.spec))
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
@@ -118,7 +118,7 @@
         queue = self._context.queue(job)
         if queue is None:
             return 0.0
-        return queue.stretch * chain_ms(job.spec) + queue.target_latency_ms
+        return queue.stretch * critical_path_ms(job.spec) + queue.target_latency_ms
 
     def is_stored(self, job_id):
         """Tell whether a job of that id is stored."""
@@ -176,7 +176,7 @@
     return bool(job.account_name and account_name) and job.account_name != account_name
 
 
-def chain_ms(spec):
+def critical_path_ms(spec):
     """Return the longest chain of estimated work through a job's steps."""
     longest = []
     for step in spec.steps:
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
@@ -3,7 +3,7 @@
 from attrs import field, frozen
 
 from .codec import JOB_KEY, PROGRESS_KEY, decode_progress, load_ended_job, load_job
-from .intake import chain_ms
+from .intake import critical_path_ms
 
 __all__ = ["JobLoader"]
 
@@ -52,7 +52,9 @@
     def _resume(self, job, now_ms):
         queue = self._context.queue(job)
         if queue is not None:
-            objective_ms = queue.stretch * chain_ms(job.spec) + queue.target_latency_ms
+            objective_ms = (
+                queue.stretch * critical_path_ms(job.spec) + queue.target_latency_ms
+            )
             job.objective_ms = job.accepted_ms + objective_ms
         if not job.is_live:
             job.ended_ms = now_ms
--- a/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_scorer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_scorer.py
@@ -76,7 +76,7 @@
         2,
         approval_rate=0.7,
         waited_ms=0.0,
-        most=100,
+        max_workers=100,
         lateness=LatenessProbability(usual_ms=USUAL_MS, left_ms=left_ms),
     )
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -147,7 +147,7 @@
             settings=self.settings,
             life=self._life,
             on_change=self.owned_cells.update,
-            must_wait=JoinDeferral(daemon=self).waits,
+            must_wait=JoinDeferral(daemon=self).must_wait,
         )
         self.directory = OwnerDirectory(
             store=self.store,
--- a/packages/thymefork-daemon/src/thymefork_daemon/join_deferral.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/join_deferral.py
@@ -25,7 +25,7 @@
         self._daemon = daemon
         self._first_check_ms = None
 
-    def waits(self):
+    def must_wait(self):
         """Tell whether this instance's own join has to wait."""
         if self._daemon.owners:
             return False
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -127,12 +127,12 @@
             self._target_in_flight = INITIAL_IN_FLIGHT
         self._baseline_ms = min(took_ms, BASELINE_GROWTH * self._baseline_ms)
         self._queueing_ms = took_ms - self._baseline_ms
-        waiting = self._target_in_flight * self._queueing_ms / took_ms
-        if waiting > HIGH_QUEUEING:
+        queueing = self._target_in_flight * self._queueing_ms / took_ms
+        if queueing > HIGH_QUEUEING:
             self._target_in_flight *= DECREASE_FACTOR
             if self._target_in_flight < MIN_OVERLAP:
                 self._target_in_flight = 1.0
-        elif waiting < LOW_QUEUEING and self._target_in_flight > 1.0:
+        elif queueing < LOW_QUEUEING and self._target_in_flight > 1.0:
             self._target_in_flight = min(
                 MAX_IN_FLIGHT, self._target_in_flight + INCREASE_STEP
             )
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -48,7 +48,7 @@
         self._executor = EffectExecutor(
             cell_index=cell,
             metrics=daemon.metrics,
-            advisers=self._advice_dispatcher,
+            advice_dispatcher=self._advice_dispatcher,
             command_sender=CommandSender(owner=self, client=daemon.workers),
             on_ends_stored=self._on_ends_stored,
             announce_ends=self._announce_ends,
@@ -109,7 +109,7 @@
         return self._is_active and not self.cell.journal.is_empty
 
     @property
-    def store_answers(self):
+    def is_store_responding(self):
         """Tell whether appends are answered, as far as is known here."""
         return self._pipeline.is_store_responding
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
@@ -21,7 +21,7 @@
         *,
         cell_index,
         metrics,
-        advisers,
+        advice_dispatcher,
         command_sender,
         on_ends_stored,
         announce_ends,
@@ -31,7 +31,7 @@
     ):
         self._cell_index = cell_index
         self._metrics = metrics
-        self._advice_dispatcher = advisers
+        self._advice_dispatcher = advice_dispatcher
         self._command_sender = command_sender
         self._on_ends_stored = on_ends_stored
         self._announce_ends = announce_ends
--- a/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
@@ -66,7 +66,9 @@
     def _is_store_unavailable(self):
         if self._daemon.membership.store_lost:
             return True
-        return not all(owner.store_answers for owner in self._daemon.owners.values())
+        return not all(
+            owner.is_store_responding for owner in self._daemon.owners.values()
+        )
 
     def is_complete(self):
         """Return whether everything is answered or the time for it has passed."""
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
@@ -26,31 +26,31 @@
 
 
 def test_an_instance_waits_for_an_owner_that_waits_for_the_store(daemon, timers):
-    assert JoinDeferral(daemon=daemon).waits()
+    assert JoinDeferral(daemon=daemon).must_wait()
 
 
 def test_an_instance_joins_once_the_owner_has(daemon, timers):
     daemon.without.clear()
-    assert not JoinDeferral(daemon=daemon).waits()
+    assert not JoinDeferral(daemon=daemon).must_wait()
 
 
 def test_an_owner_does_not_wait(daemon, timers):
     daemon.owners = {0: object()}
-    assert not JoinDeferral(daemon=daemon).waits()
+    assert not JoinDeferral(daemon=daemon).must_wait()
 
 
 def test_nobody_waits_for_an_owner_that_is_not_heard(daemon, timers):
     daemon.readiness.hears_all_owners = False
-    assert not JoinDeferral(daemon=daemon).waits()
+    assert not JoinDeferral(daemon=daemon).must_wait()
 
 
 def test_nobody_waits_long_for_an_owner_that_is_cut_off_by_itself(daemon, timers):
     first = JoinDeferral(daemon=daemon)
     daemon.store_readable_since_ms = timers.now_ms
     timers.run(300)
-    assert first.waits()
+    assert first.must_wait()
     timers.run(200)
-    assert not first.waits()
+    assert not first.must_wait()
 
 
 class Newcomer:
@@ -75,8 +75,8 @@
     def read_is_answered(self):
         self.daemon.store_readable_since_ms = self.timers.now_ms
 
-    def waits(self):
-        return self._first.waits()
+    def must_wait(self):
+        return self._first.must_wait()
 
 
 @pytest.fixture
@@ -87,25 +87,25 @@
 def test_a_newcomer_sends_no_join_while_the_store_is_away(newcomer, timers):
     """A join without an answer may be carried out on the store's return."""
     for _ in range(100):
-        assert newcomer.waits()
+        assert newcomer.must_wait()
         timers.run(50)
 
 
 def test_a_newcomer_joins_after_the_owner_had_time_to(newcomer, timers):
-    assert newcomer.waits()
+    assert newcomer.must_wait()
     timers.run(2_000)
     newcomer.read_is_answered()
     timers.run(300)
-    assert newcomer.waits()
+    assert newcomer.must_wait()
     timers.run(200)
-    assert not newcomer.waits()
+    assert not newcomer.must_wait()
 
 
 def test_a_newcomer_that_is_answered_at_once_does_not_wait(newcomer, timers):
-    assert newcomer.waits()
+    assert newcomer.must_wait()
     timers.run(10)
     newcomer.read_is_answered()
-    assert not newcomer.waits()
+    assert not newcomer.must_wait()
 
 
 def test_one_that_steps_in_later_while_the_store_answers_does_not_wait(
@@ -113,4 +113,4 @@
 ):
     newcomer.read_is_answered()
     timers.run(5_000)
-    assert not newcomer.waits()
+    assert not newcomer.must_wait()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
@@ -22,7 +22,7 @@
 
     def __init__(self, log):
         self.has_unstored_records = True
-        self.store_answers = True
+        self.is_store_responding = True
         self.ended = False
         self._log = log
 
@@ -77,13 +77,13 @@
 @pytest.mark.parametrize("away_by", ["joins", "appends"])
 def test_owner_keeps_its_cells_while_the_store_is_unavailable(daemon, timers, away_by):
     daemon.membership.store_lost = away_by == "joins"
-    daemon.owner.store_answers = away_by != "appends"
+    daemon.owner.is_store_responding = away_by != "appends"
     daemon.shutdown.begin()
     timers.run(4_000)
     assert not daemon.owner.ended
     assert not daemon.shutdown.is_complete()
     daemon.membership.store_lost = False
-    daemon.owner.store_answers = True
+    daemon.owner.is_store_responding = True
     timers.run(100)
     assert not daemon.owner.ended  # its records are being stored
     daemon.owner.has_unstored_records = False
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
@@ -123,7 +123,7 @@
     executor = EffectExecutor(
         cell_index=0,
         metrics=Metrics(),
-        advisers=None,
+        advice_dispatcher=None,
         command_sender=None,
         on_ends_stored=None,
         announce_ends=None,
@@ -155,7 +155,7 @@
     executor = EffectExecutor(
         cell_index=0,
         metrics=metrics,
-        advisers=None,
+        advice_dispatcher=None,
         command_sender=None,
         on_ends_stored=None,
         announce_ends=None,
