--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -71,7 +71,7 @@
         self.metrics = Metrics()
         self._build_clients()
         self._build_watches()
-        self.heard_ends = HeardEndBuffer(daemon=self)
+        self.heard_end_buffer = HeardEndBuffer(daemon=self)
         self.learned_speeds = LearnedSpeeds(daemon=self)
         self.parts = LimitPartRouter(daemon=self)
         self.peers = PeerDispatcher(daemon=self)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -213,7 +213,7 @@
             load_monitor=self._daemon.owner_load,
         )
         cell.registry.update(self._daemon.worker_list.entries.values(), now_ms=now_ms)
-        heard = self._daemon.heard_ends.ends_before(self.cell_index, self.epoch)
+        heard = self._daemon.heard_end_buffer.ends_before(self.cell_index, self.epoch)
         cell.inherited_ends.apply(heard, now_ms=now_ms)
         speeds = self._daemon.learned_speeds.of(self.cell_index)
         cell.speed_learner.inherit(speeds, now_ms=now_ms)
@@ -282,7 +282,7 @@
         self.cell.poller.on_ends_stored(worker, last_end, now_ms=now_ms)
 
     def _announce_ends(self, ends):
-        self._daemon.heard_ends.announce(self.cell_index, self.epoch, ends)
+        self._daemon.heard_end_buffer.announce(self.cell_index, self.epoch, ends)
 
     def _announce_speeds(self, speeds):
         self._daemon.learned_speeds.announce(self.cell_index, self.epoch, speeds)
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -147,7 +147,7 @@
         elif isinstance(message, AdviceReply):
             self._on_advice_reply(message)
         elif isinstance(message, EndsHeard):
-            self._daemon.heard_ends.on_message(message)
+            self._daemon.heard_end_buffer.on_message(message)
         elif isinstance(message, LIMIT_PART_MESSAGES):
             self._daemon.parts.on_message(message)
         else:
@@ -192,7 +192,9 @@
         for learned in message.speeds or ():
             self._daemon.learned_speeds.on_message(learned)
         for owned in message.owned:
-            self._daemon.heard_ends.forward_to_owner(link, owned.cell, owned.epoch)
+            self._daemon.heard_end_buffer.forward_to_owner(
+                link, owned.cell, owned.epoch
+            )
         if self._owner_watch is not None:
             self._owner_watch.on_heartbeat(link, message)
         owned = {owned.cell for owned in message.owned}
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -67,7 +67,7 @@
         metrics=FakeMetrics(),
         **capacity_attributes(),
     )
-    daemon.heard_ends = HeardEndBuffer(daemon=daemon)
+    daemon.heard_end_buffer = HeardEndBuffer(daemon=daemon)
     daemon.learned_speeds = LearnedSpeeds(daemon=daemon)
     daemon.owned_cells = OwnedCells(daemon=daemon)
     daemon.owners = daemon.owned_cells.owners
@@ -146,7 +146,7 @@
         HeardEnd(worker_id="w0", task="aa.0.0.0", run_id=1, how="done", checkpoint="")
     ]
     daemon.peers.member_links = []
-    daemon.heard_ends.announce(0, 2, ends)
+    daemon.heard_end_buffer.announce(0, 2, ends)
     daemon.owned_cells.update()
     tasks = daemon.owners[0].cell.context.jobs["aa"].steps[0].tasks
     assert [task.done for task in tasks] == [True, False]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -130,7 +130,7 @@
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
     dispatcher = daemon.peers = PeerDispatcher(daemon=daemon)
     owner = daemon.directory.owner_of(0)
     receive_heartbeat(dispatcher, owner, leaving=True, store_lost=True)
@@ -235,7 +235,7 @@
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
     daemon.learned_speeds = SimpleNamespace(
         take_unannounced=lambda: None, of_owned_cells=lambda: ["all"]
     )
@@ -266,7 +266,7 @@
     nothing = lambda *arguments: None
     daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(forward_to_owner=nothing)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
     dispatcher = PeerDispatcher(daemon=daemon)
     link = FakeLink(daemon.directory.owner_of(0))
 
