--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -197,7 +197,7 @@
         self._request_handler = RequestHandler(
             cell=cell,
             ownership=self._ownership,
-            pump=self._pipeline,
+            pipeline=self._pipeline,
             metrics=self._daemon.metrics,
             timers=self._daemon.timers,
             apply_effects=self.apply_effects,
@@ -205,7 +205,7 @@
         self._loop = SchedulingLoop(
             cell=cell,
             ownership=self._ownership,
-            pump=self._pipeline,
+            pipeline=self._pipeline,
             executor=self._executor,
             timers=self._daemon.timers,
             worker_list_as_of_ms=lambda: self._daemon.worker_list.as_of_ms,
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
@@ -19,11 +19,11 @@
     `apply_effects()` has effects carried out.
     """
 
-    def __init__(self, *, cell, ownership, pump, metrics, timers, apply_effects):
+    def __init__(self, *, cell, ownership, pipeline, metrics, timers, apply_effects):
         self._intake = cell.intake
         self._journal = cell.journal
         self._ownership = ownership
-        self._pump = pump
+        self._pipeline = pipeline
         self._metrics = metrics
         self._timers = timers
         self._apply_effects = apply_effects
@@ -74,7 +74,7 @@
             respond(fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER))
 
     def _is_store_unavailable(self):
-        return self._pump.is_store_unavailable or not self._ownership.is_certain()
+        return self._pipeline.is_store_unavailable or not self._ownership.is_certain()
 
     def _needs_no_append(self, kind, job_id):
         """Tell whether a request is about what is stored, or on its way, already."""
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/scheduling_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/scheduling_loop.py
@@ -37,7 +37,7 @@
         *,
         cell,
         ownership,
-        pump,
+        pipeline,
         executor,
         timers,
         worker_list_as_of_ms,
@@ -46,7 +46,7 @@
     ):
         self._cell = cell
         self._ownership = ownership
-        self._pump = pump
+        self._pipeline = pipeline
         self._executor = executor
         self._timers = timers
         self._workers_known_ms = worker_list_as_of_ms
@@ -124,7 +124,7 @@
     def _may_linger(self, now_ms):
         """Tell whether the records that wait may wait for others."""
         journal = self._cell.journal
-        if journal.is_empty or journal.is_urgent or self._pump.is_store_unavailable:
+        if journal.is_empty or journal.is_urgent or self._pipeline.is_store_unavailable:
             self._linger_since_ms = 0.0
             return False
         self._linger_since_ms = self._linger_since_ms or now_ms
@@ -134,14 +134,14 @@
         """Send what waits if the store takes it now; return when to try next."""
         if self._cell.journal.is_empty or self._ended or self._store_retry_timer:
             return math.inf
-        next_send_ms = self._pump.next_send_ms
+        next_send_ms = self._pipeline.next_send_ms
         if next_send_ms is None:
             return math.inf
         if next_send_ms > now_ms:
             return next_send_ms
         sent_ms = steady_ms()
         batch = self._cell.journal.take(sent_ms)
-        self._pump.send(
+        self._pipeline.send(
             batch,
             lambda batch: self._on_stored(batch, sent_ms),
             self._on_not_stored,
@@ -168,5 +168,5 @@
         if self._ended:
             return
         if self._cell.journal.is_empty:
-            self._pump.reset_failure()
+            self._pipeline.reset_failure()
         self.apply_effects()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
@@ -24,7 +24,7 @@
         self.sent.append(message)
 
 
-class OwnClient:
+class FakeAdviceClient:
     """Take this instance's own calls and leave them unanswered."""
 
     def __init__(self):
@@ -36,7 +36,7 @@
         self.wanted.append(wanted)
 
 
-def make(
+def make_dispatcher(
     timers,
     links,
     run_cycle,
@@ -46,7 +46,7 @@
     notify_withdrawn=lambda link, call_ids: None,
 ):
     dispatcher = AdviceDispatcher(
-        client=client or OwnClient(),
+        client=client or FakeAdviceClient(),
         timers=timers,
         metrics=FakeMetrics(),
         instance=instance,
@@ -58,12 +58,12 @@
     return dispatcher
 
 
-def long_call(name="s", cost_ms=900.0):
+def advice_call(name="s", cost_ms=900.0):
     step = SimpleNamespace(name=name, job=SimpleNamespace(is_live=True))
     return RequestAdvice(step=step, worker_ids=("w",), cost_ms=cost_ms, priority=1)
 
 
-def note_steps(names):
+def record_steps(names):
     """Return a taker of answers that notes which steps they are for."""
     return lambda step, *answer: names.append(step.name)
 
@@ -79,17 +79,17 @@
     """From cab-bogota-grown, scale-2: a harvest waited 12 s for its tickets (LOST)."""
     links = [FakeLink(name) for name in NAMES]
     for run_cycle in (0.0, 0.5):
-        dispatcher = make(timers, links, run_cycle)
+        dispatcher = make_dispatcher(timers, links, run_cycle)
         for _ in range(4):
-            dispatcher.ask(long_call())
+            dispatcher.ask(advice_call())
     assert max(len(link.sent) for link in links) == 1
 
 
 def test_a_call_waits_for_another_owners_call_at_the_same_instance(timers):
     links = [FakeLink("edge-0")]
-    dispatcher = make(timers, links, 0.0)
-    dispatcher.ask(long_call())
-    dispatcher.ask(long_call())
+    dispatcher = make_dispatcher(timers, links, 0.0)
+    dispatcher.ask(advice_call())
+    dispatcher.ask(advice_call())
     timers.run(2 * 900)  # both calls of two owners, one after the other
     assert len(links[0].sent) == 1
 
@@ -97,16 +97,16 @@
 def test_a_call_of_the_last_queue_is_made_though_urgent_ones_never_cease(timers):
     """From an overload by one kind of request: a step was never asked for (LOST)."""
     links = [FakeLink(name) for name in NAMES]
-    dispatcher = make(timers, links, 0.0)
+    dispatcher = make_dispatcher(timers, links, 0.0)
     for _ in range(20):
-        dispatcher.ask(long_call())
+        dispatcher.ask(advice_call())
     step = SimpleNamespace(name="late", job=SimpleNamespace(is_live=True))
     dispatcher.ask(
         RequestAdvice(step=step, worker_ids=("w",), cost_ms=900.0, priority=2)
     )
     for _ in range(12):
         timers.run(250)
-        dispatcher.ask(long_call())
+        dispatcher.ask(advice_call())
         for link in links:
             if link.sent:
                 reply = SimpleNamespace(
@@ -116,7 +116,7 @@
                     valid_ms=2_000,
                 )
                 dispatcher.on_reply(reply)
-                dispatcher.ask(long_call())
+                dispatcher.ask(advice_call())
     asked = [message.step for link in links for message in link.sent]
     assert "late" in asked
 
@@ -126,11 +126,11 @@
     link = FakeLink("edge-0")
     taken = {"one": [], "two": []}
     owners = {
-        name: make(timers, [link], 0.0, note_steps(steps), "edge-9")
+        name: make_dispatcher(timers, [link], 0.0, record_steps(steps), "edge-9")
         for name, steps in taken.items()
     }
     for name, dispatcher in owners.items():
-        dispatcher.ask(long_call(f"step-of-{name}"))
+        dispatcher.ask(advice_call(f"step-of-{name}"))
     first, _ = link.sent
     for dispatcher in owners.values():
         dispatcher.on_reply(reply_to(first))
@@ -140,10 +140,12 @@
 def test_an_answer_to_a_former_ownership_is_not_taken_by_the_next(timers):
     """From a review: the cell was lost and regained, and call ids began anew."""
     link, answers = FakeLink("edge-0"), []
-    former = make(timers, [link], 0.0, instance="edge-9")
-    former.ask(long_call("former"))
-    following = make(timers, [link], 0.0, lambda *row: answers.append(row), "edge-9")
-    following.ask(long_call("following"))
+    former = make_dispatcher(timers, [link], 0.0, instance="edge-9")
+    former.ask(advice_call("former"))
+    following = make_dispatcher(
+        timers, [link], 0.0, lambda *row: answers.append(row), "edge-9"
+    )
+    following.ask(advice_call("following"))
     following.on_reply(reply_to(link.sent[0]))
     assert not answers
 
@@ -152,9 +154,9 @@
     """From a review: an adviser was failed, and so free, before it was forgotten."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
     answered = []
-    dispatcher = make(timers, links, 0.0, note_steps(answered))
+    dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for name in "abc":  # two of the four instances take long calls: the third waits
-        dispatcher.ask(long_call(name))
+        dispatcher.ask(advice_call(name))
     links[0].sent.clear()
     dispatcher.update(links[1:])
     assert answered == ["a"]
@@ -165,9 +167,9 @@
     """From a review: `update` came again from within and met what it had deleted."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
     answered = []
-    dispatcher = make(timers, links, 0.0, note_steps(answered))
+    dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for name in "abcde":  # one for each instance, and one that waits
-        dispatcher.ask(long_call(name, cost_ms=100.0))
+        dispatcher.ask(advice_call(name, cost_ms=100.0))
     newcomer = FakeLink("edge-3")
     newcomer.send = lambda message: dispatcher.update([])
     dispatcher.update([*links[1:], newcomer])
@@ -177,12 +179,12 @@
 def test_a_long_call_goes_out_though_all_links_break_under_a_short_one(timers):
     """From a review: what had been put aside was put back without another look."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
-    client = OwnClient()
-    dispatcher = make(timers, links, 0.25, client=client)
+    client = FakeAdviceClient()
+    dispatcher = make_dispatcher(timers, links, 0.25, client=client)
     for name in ("long-1", "long-2", "long-3"):  # edge-1 and edge-2 take long calls
-        dispatcher.ask(long_call(name))
+        dispatcher.ask(advice_call(name))
     links[0].send = lambda message: dispatcher.update([])
-    dispatcher.ask(long_call("short", cost_ms=100.0))
+    dispatcher.ask(advice_call("short", cost_ms=100.0))
     assert client.asked == ["long-3"]
 
 
@@ -190,14 +192,14 @@
     """From a review: nobody looked again, and the step was never asked for."""
     links = [FakeLink(name) for name in NAMES]
     answered = []
-    dispatcher = make(timers, links, 0.0, note_steps(answered))
+    dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for number in range(7):  # as many as there are instances for long calls
-        dispatcher.ask(long_call(f"s{number}"))
+        dispatcher.ask(advice_call(f"s{number}"))
     timers.run(3_500)  # none is answered, and all seven are paused
     assert len(answered) == 7
     for link in links:
         link.sent.clear()
-    dispatcher.ask(long_call("again"))
+    dispatcher.ask(advice_call("again"))
     assert not any(link.sent for link in links)
     timers.run(1_500)
     assert [row.step for link in links for row in link.sent] == ["again"]
@@ -206,97 +208,99 @@
 def test_what_was_put_aside_is_not_sent_after_an_end_from_within(timers):
     """A link that breaks under a send may lose the cell."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
-    client = OwnClient()
-    dispatcher = make(timers, links, 0.25, client=client)
+    client = FakeAdviceClient()
+    dispatcher = make_dispatcher(timers, links, 0.25, client=client)
     for name in ("long-1", "long-2", "long-3"):  # edge-1 and edge-2 take long calls
-        dispatcher.ask(long_call(name))
+        dispatcher.ask(advice_call(name))
     links[0].send = lambda message: dispatcher.end()
-    dispatcher.ask(long_call("short", cost_ms=100.0))
+    dispatcher.ask(advice_call("short", cost_ms=100.0))
     dispatcher.update([])
     assert not client.asked
 
 
 def test_a_call_takes_a_slot_until_it_is_answered(timers):
     links = [FakeLink(f"edge-{number}") for number in range(9)]
-    dispatcher = make(timers, links, 0.0)
-    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (10, 7)
-    dispatcher.ask(long_call())
-    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (9, 6)
+    dispatcher = make_dispatcher(timers, links, 0.0)
+    assert (dispatcher.slots.any_call, dispatcher.slots.advice_call) == (10, 7)
+    dispatcher.ask(advice_call())
+    assert (dispatcher.slots.any_call, dispatcher.slots.advice_call) == (9, 6)
     [asked] = [link.sent[0] for link in links if link.sent]
     dispatcher.on_reply(reply_to(asked))
-    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (10, 7)
+    assert (dispatcher.slots.any_call, dispatcher.slots.advice_call) == (10, 7)
 
 
 def test_a_paused_instance_has_no_slot(timers):
-    dispatcher = make(timers, [FakeLink("edge-0")], 0.0)
-    dispatcher.ask(long_call())
+    dispatcher = make_dispatcher(timers, [FakeLink("edge-0")], 0.0)
+    dispatcher.ask(advice_call())
     timers.run(3_300)  # it is not answered, and the instance is paused
-    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (1, 0)
+    assert (dispatcher.slots.any_call, dispatcher.slots.advice_call) == (1, 0)
 
 
 def test_long_calls_may_take_nearly_all_instances_while_short_ones_are_few(timers):
     """From cab-bogota, shifted: nine of 29 instances idled beside steps that waited."""
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
-    dispatcher = make(timers, links, 0.0)
-    assert dispatcher.slots.long_call == 14
+    dispatcher = make_dispatcher(timers, links, 0.0)
+    assert dispatcher.slots.advice_call == 14
     timers.run(5_100)
-    dispatcher.ask(long_call())
-    assert dispatcher.slots.long_call == 18
+    dispatcher.ask(advice_call())
+    assert dispatcher.slots.advice_call == 18
 
 
 def test_instances_are_kept_for_as_many_short_calls_as_there_were(timers):
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
-    dispatcher = make(timers, links, 0.0)
+    dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
     for _ in range(2):
-        dispatcher.ask(long_call(cost_ms=60.0))
+        dispatcher.ask(advice_call(cost_ms=60.0))
     assert (
-        dispatcher.slots.long_call == 15
+        dispatcher.slots.advice_call == 15
     )  # of 20, with five kept for twice two and one
 
 
 def test_short_calls_are_kept_room_for_as_soon_as_there_are_some(timers):
     """After a time without any, a rise was not noted for five seconds."""
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
-    dispatcher = make(timers, links, 0.0)
+    dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
-    dispatcher.ask(long_call())
-    assert dispatcher.slots.long_call == 18
+    dispatcher.ask(advice_call())
+    assert dispatcher.slots.advice_call == 18
     timers.run(100)
     for _ in range(2):
-        dispatcher.ask(long_call(cost_ms=60.0))
-    assert dispatcher.slots.long_call == 14  # of 20, five are kept and one is under way
+        dispatcher.ask(advice_call(cost_ms=60.0))
+    assert (
+        dispatcher.slots.advice_call == 14
+    )  # of 20, five are kept and one is under way
 
 
-def leave(call):
+def end_job(call):
     """Let a call's job end."""
     call.step.job.is_live = False
 
 
 def test_what_waits_for_jobs_that_have_ended_takes_no_slot(timers):
-    dispatcher = make(timers, [FakeLink("edge-0")], 0.0)
-    calls = [long_call(f"s{number}") for number in range(6)]
+    dispatcher = make_dispatcher(timers, [FakeLink("edge-0")], 0.0)
+    calls = [advice_call(f"s{number}") for number in range(6)]
     for call in calls:
         dispatcher.ask(call)
     assert dispatcher.slots.any_call == -4  # one is under way, five wait for long calls
     for call in calls[1:]:
-        leave(call)
+        end_job(call)
     slots = dispatcher.current_slots()
-    assert (slots.any_call, slots.long_call) == (1, 0)
+    assert (slots.any_call, slots.advice_call) == (1, 0)
 
 
 def test_another_instance_is_told_once_of_a_call_in_vain(timers):
     told = []
     link = FakeLink("edge-0")
-    dispatcher = make(
+    dispatcher = make_dispatcher(
         timers, [link], 0.0, notify_withdrawn=lambda link, ids: told.append((link, ids))
     )
-    call, stays = long_call("leaves"), long_call("stays")
+    call, stays = advice_call("leaves"), advice_call("stays")
     dispatcher.ask(call)
     dispatcher.ask(stays)
     dispatcher.current_slots()
     assert not told
-    leave(call)
+    end_job(call)
     for _ in range(3):
         dispatcher.current_slots()
     assert told == [(link, [link.sent[0].call_id])]
@@ -307,13 +311,13 @@
 
 
 def test_an_own_call_that_has_not_left_is_not_made_in_vain(timers):
-    client = OwnClient()
-    dispatcher = make(timers, [], 0.0, client=client)
-    call = long_call()
+    client = FakeAdviceClient()
+    dispatcher = make_dispatcher(timers, [], 0.0, client=client)
+    call = advice_call()
     dispatcher.ask(call)
     (wanted,) = client.wanted
     assert wanted()
-    leave(call)
+    end_job(call)
     assert not wanted()
 
 
@@ -325,11 +329,11 @@
         told.append(call_ids)
         dispatcher.update([])
 
-    dispatcher = make(timers, links, 0.0, notify_withdrawn=tell)
-    calls = [long_call(f"s{n}", cost_ms=100.0) for n in range(3)]
+    dispatcher = make_dispatcher(timers, links, 0.0, notify_withdrawn=tell)
+    calls = [advice_call(f"s{n}", cost_ms=100.0) for n in range(3)]
     for call in calls:
         dispatcher.ask(call)
     for call in calls:
-        leave(call)
+        end_job(call)
     assert dispatcher.current_slots().any_call == 0  # the own one is busy still
     assert len(told) == 1
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
@@ -26,16 +26,16 @@
 CASES = 60
 REQUESTS_MS = 5_000.0
 OUTAGE_MS = 400.0
-QUIET_MS = 10_000.0
+RECOVERY_MS = 10_000.0
 SPEC = encode_spec(JobSpec(steps=(StepSpec(count=1, cpu_milli=500),)))
 
 
-class Owner:
+class SimulatedOwner:
     """Take requests of callers and check each reply against the store."""
 
     def __init__(self, timers, seed):
         self.timers, self.rng = timers, random.Random(seed)
-        self.share = self.rng.choice([0.0, 0.1, 0.4])
+        self.fault_probability = self.rng.choice([0.0, 0.1, 0.4])
         self.until_ms = timers.now_ms + REQUESTS_MS
         self.outages_ms = self.rng.choice([(), (1_000.0, 3_000.0)])
         self.store = SequencedStore(
@@ -56,7 +56,7 @@
         )
         self.outcomes = {}
         self.lost = []
-        self.pump = AppendPipeline(
+        self.pipeline = AppendPipeline(
             partition=CellPartition(store=self.store, cell=0, partition=7, epoch=1),
             timers=timers,
             metrics=FakeMetrics(),
@@ -67,23 +67,26 @@
         self.loop = SchedulingLoop(
             cell=self.cell,
             ownership=SimpleNamespace(is_renewed=lambda: True),
-            pump=self.pump,
+            pipeline=self.pipeline,
             executor=SimpleNamespace(execute=self.execute),
             timers=timers,
             worker_list_as_of_ms=lambda: timers.now_ms,
         )
         self.loop.run_cycle()
-        self.ask()
+        self.send_request()
 
     def draw_fault(self, number):
         left_ms = self.until_ms - self.timers.now_ms
         if any(0.0 < left_ms - outage_ms < OUTAGE_MS for outage_ms in self.outages_ms):
             return "busy"
-        if self.timers.now_ms > self.until_ms or self.rng.random() > self.share:
+        if (
+            self.timers.now_ms > self.until_ms
+            or self.rng.random() > self.fault_probability
+        ):
             return ""
         return self.rng.choice(FAULTS)
 
-    def ask(self):
+    def send_request(self):
         """Hand in a job; sometimes cancel one that was handed in."""
         if self.timers.now_ms > self.until_ms:
             return
@@ -95,7 +98,7 @@
             job_id = self.rng.choice(list(self.cell.context.jobs))
             intake.cancel(("cancel", job_id), job_id, now_ms=now_ms)
         self.loop.apply_effects()
-        self.timers.after(self.rng.expovariate(1 / 20.0), self.ask)
+        self.timers.after(self.rng.expovariate(1 / 20.0), self.send_request)
 
     def execute(self, effects):
         for effect in effects:
@@ -118,9 +121,9 @@
 
 @pytest.mark.parametrize("seed", range(CASES))
 def test_whoever_was_told_finds_it_stored(timers, seed):
-    owner = Owner(timers, seed)
-    timers.run(REQUESTS_MS + QUIET_MS)
-    assert not owner.lost and not owner.pump.is_busy
+    owner = SimulatedOwner(timers, seed)
+    timers.run(REQUESTS_MS + RECOVERY_MS)
+    assert not owner.lost and not owner.pipeline.is_busy
     assert owner.cell.journal.is_empty
     accepted = set()
     for (kind, job_id), outcomes in owner.outcomes.items():
@@ -135,5 +138,5 @@
     newest = dict(owner.store.stored)
     for job_id, job in owner.cell.context.jobs.items():
         assert job.visible_state is job.state
-        is_described = bool(newest.get(JOB_KEY + job_id))
-        assert is_described == (job.state is JobState.QUEUED)
+        has_job_record = bool(newest.get(JOB_KEY + job_id))
+        assert has_job_record == (job.state is JobState.QUEUED)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
@@ -50,7 +50,7 @@
     )
 
 
-def life(number=0):
+def make_worker(number=0):
     entry = WorkerEntry(
         worker_id="w", machine_id="m", host="h", port=1, service="s", hall=""
     )
@@ -64,19 +64,21 @@
 
 
 def test_the_fence_rises_with_each_life_and_stays_below_the_next_owners(owner, client):
-    fences = [send_stop(owner, client, life(number))["fence"] for number in range(3)]
+    fences = [
+        send_stop(owner, client, make_worker(number))["fence"] for number in range(3)
+    ]
     assert fences == sorted(set(fences))
-    assert fences[-1] < life().fence(EPOCH + 1)
+    assert fences[-1] < make_worker().fence(EPOCH + 1)
 
 
 def test_a_newer_owners_fence_loses_the_cell(owner, client):
-    stop = send_stop(owner, client, life())
+    stop = send_stop(owner, client, make_worker())
     stop["done"](CommandAnswer(refusal=Refusal.FENCED, clock_ms=5))
     assert owner.lost and not owner.heard
 
 
 def test_the_fence_of_the_workers_next_life_does_not_lose_the_cell(owner, client):
-    worker = life()
+    worker = make_worker()
     stop = send_stop(owner, client, worker)
     worker.is_over = True
     stop["done"](CommandAnswer(refusal=Refusal.FENCED, clock_ms=5))
@@ -88,7 +90,7 @@
     owner, client, state
 ):
     """It left after its job was cancelled, beside the order to stop it."""
-    worker = life()
+    worker = make_worker()
     job = SimpleNamespace(spec=SimpleNamespace(payload=""))
     step = SimpleNamespace(job=job, ticket_for=lambda worker_id, now_ms: None)
     task = SimpleNamespace(step=step, checkpoint="")
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
@@ -29,12 +29,12 @@
 
 
 @pytest.fixture(params=[1, 2, 3])
-def shares(request):
+def seeded_random(request):
     random.seed(request.param)
 
 
 @pytest.fixture
-def group(timers, shares):
+def group(timers, seeded_random):
     group = SimulatedGroup(timers)
     group.run(3_000)
     return group
@@ -51,7 +51,7 @@
     instance.owner_load.load.reset()
 
 
-def run_until_it_leaves(group, instance):
+def run_until_handover_begins(group, instance):
     """Run until an instance has decided to leave, and waits for what is not stored."""
     for _ in range(10_000 // STEP_MS):
         if instance.handover.is_in_progress:
@@ -86,11 +86,13 @@
     full = group.of(Tier.FULL)
     group.stop(full)
     group.run(8_000)
-    stand_in = group.owner
+    temporary_owner = group.owner
     group.restart(full)
     group.run(6_000)
     assert group.owner in full
-    assert stand_in.announcements == 1  # what it had heard and not stored went along
+    assert (
+        temporary_owner.announcements == 1
+    )  # what it had heard and not stored went along
     assert {member.tier for member in group.members} == {Tier.FULL}
     seen = len(group.owners_seen)
     group.run(30_000)
@@ -123,13 +125,13 @@
     full = group.of(Tier.FULL)
     group.stop(full)
     group.run(8_000)
-    stand_in = group.owner
+    temporary_owner = group.owner
     group.restart(full)
-    away = [stand_in] if without_store == "stand_in" else full
+    away = [temporary_owner] if without_store == "stand_in" else full
     for instance in away:
         instance.has_store = False
     group.run(10_000)
-    assert group.owner is stand_in and not stand_in.announcements
+    assert group.owner is temporary_owner and not temporary_owner.announcements
     for instance in away:
         instance.has_store = True
     group.run(8_000)
@@ -140,15 +142,15 @@
     full = group.of(Tier.FULL)
     group.stop(full)
     group.run(8_000)
-    stand_in = group.owner
-    stand_in.owners[0].has_unstored_records = True
+    temporary_owner = group.owner
+    temporary_owner.owners[0].has_unstored_records = True
     group.restart(full)
-    run_until_it_leaves(group, stand_in)
+    run_until_handover_begins(group, temporary_owner)
     group.run(100)
-    assert group.owner is stand_in
-    stand_in.has_store = False
+    assert group.owner is temporary_owner
+    temporary_owner.has_store = False
     group.run(3_000)
-    assert group.owner is stand_in and not stand_in.announcements
+    assert group.owner is temporary_owner and not temporary_owner.announcements
 
 
 def test_an_overloaded_owner_gives_its_cell_to_one_of_its_rank(group):
@@ -160,7 +162,7 @@
     assert group.handovers == ["overload"]
 
 
-def test_an_overloaded_owner_without_relief_stays(timers, shares):
+def test_an_overloaded_owner_without_relief_stays(timers, seeded_random):
     group = SimulatedGroup(timers, full=1)
     group.run(8_000)
     overload(group.owner)
@@ -193,18 +195,20 @@
 
 def test_peers_that_know_no_tiers_are_left_alone(group):
     """In a roll old instances tell none; nobody leaves the group for them."""
-    stand_in = group.of(Tier.PARTIAL)[0]
+    temporary_owner = group.of(Tier.PARTIAL)[0]
     group.stop(group.of(Tier.FULL))
     group.run(8_000)
-    stand_in = group.owner
+    temporary_owner = group.owner
     message = Heartbeat(owned=[], config_version=1, leaving=False, in_group=True)
     for _ in range(20):
-        stand_in.peers.member_statuses.on_heartbeat("old", message)
+        temporary_owner.peers.member_statuses.on_heartbeat("old", message)
         group.run(250)
-    assert group.owner is stand_in
+    assert group.owner is temporary_owner
 
 
-def test_better_instances_that_are_added_later_take_over_for_good(timers, shares):
+def test_better_instances_that_are_added_later_take_over_for_good(
+    timers, seeded_random
+):
     group = SimulatedGroup(timers, known={Tier.LEAST, Tier.PARTIAL})
     group.stop(group.of(Tier.FULL))
     group.run(10_000)
@@ -217,7 +221,9 @@
     assert group.handovers == ["better_tier"]  # who owned nothing gave nothing
 
 
-def test_with_a_third_cut_from_the_store_the_best_that_are_left_own(timers, shares):
+def test_with_a_third_cut_from_the_store_the_best_that_are_left_own(
+    timers, seeded_random
+):
     """The owner is among those cut off; no lower tier gets a turn, then or later."""
     group = SimulatedGroup(timers, full=3, partial=3, least=6)
     group.run(3_000)
@@ -250,17 +256,17 @@
     full = group.of(Tier.FULL)
     group.stop(full)
     group.run(8_000)
-    stand_in = group.owner
-    stand_in.owners[0].has_unstored_records = True
+    temporary_owner = group.owner
+    temporary_owner.owners[0].has_unstored_records = True
     group.restart(full)
-    run_until_it_leaves(group, stand_in)
+    run_until_handover_begins(group, temporary_owner)
     group.stop(full)
     for _ in range(20):
         for instance in full:  # their links broke
-            stand_in.peers.member_statuses.forget(instance.name)
+            temporary_owner.peers.member_statuses.forget(instance.name)
         group.run(50)
-    assert group.owner is stand_in and not stand_in.announcements
-    assert ("owner_handovers_given_up", "better_tier") in stand_in.metrics.counts
+    assert group.owner is temporary_owner and not temporary_owner.announcements
+    assert ("owner_handovers_given_up", "better_tier") in temporary_owner.metrics.counts
 
 
 def test_a_handover_for_overload_is_given_up_when_the_owner_can_follow(group):
@@ -268,7 +274,7 @@
     first = group.owner
     first.owners[0].has_unstored_records = True
     overload(first)
-    run_until_it_leaves(group, first)
+    run_until_handover_begins(group, first)
     relieve(first)
     group.run(3_000)
     assert group.owner is first and not group.handovers
@@ -281,9 +287,9 @@
     for instance in group.of(Tier.PARTIAL):
         instance.takes_over_slowly = True
     group.run(5_500)
-    stand_in = group.owner
-    assert stand_in.tier is Tier.PARTIAL
-    assert not stand_in.owners[0].is_serving
+    temporary_owner = group.owner
+    assert temporary_owner.tier is Tier.PARTIAL
+    assert not temporary_owner.owners[0].is_serving
     group.restart(full)
     group.run(8_000)
     assert group.owner in full
@@ -329,7 +335,7 @@
     first = group.owner
     first.membership.has_pending_join = True
     overload(first)
-    run_until_it_leaves(group, first)
+    run_until_handover_begins(group, first)
     group.run(600)
     assert group.owner is first
     group.run(200)
@@ -341,7 +347,7 @@
     first = group.owner
     first.membership.has_pending_join = True
     overload(first)
-    run_until_it_leaves(group, first)
+    run_until_handover_begins(group, first)
     group.run(50)
     assert group.owner is first
     first.membership.has_pending_join = False
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
@@ -16,7 +16,7 @@
 
 STEP_MS = 100
 # A heartbeat, and a takeover of the cell by who is dealt it.
-UNTIL_IT_SAYS_SO_MS = 1_000
+OWNERSHIP_REPORT_DELAY_MS = 1_000
 
 
 def status(address, *, cell=None, load_percent=0, heard_ms):
@@ -46,22 +46,22 @@
     )
 
 
-def leaving_moments(loads):
+def leave_times(loads):
     """Return when each of two owners leaves; each hears the other's last beat."""
     rules = [HandoverPolicy(tier=Tier.FULL, address=name) for name in "ab"]
     left_ms = [None, None]
     for now_ms in range(0, 10_000, STEP_MS):
-        beat_ms = float(now_ms // 200 * 200)
+        heartbeat_ms = float(now_ms // 200 * 200)
         for n, rule in enumerate(rules):
             other = 1 - n
-            other_left = left_ms[other] is not None and left_ms[other] < beat_ms
+            other_left = left_ms[other] is not None and left_ms[other] < heartbeat_ms
             statuses = [
-                status("c", heard_ms=beat_ms),  # its takeover goes on and on
+                status("c", heard_ms=heartbeat_ms),  # its takeover goes on and on
                 status(
                     "ab"[other],
                     cell=None if other_left else other,
                     load_percent=0 if other_left else round(100 * loads[other]),
-                    heard_ms=beat_ms,
+                    heard_ms=heartbeat_ms,
                 ),
             ]
             local = local_status(n, value=loads[n])
@@ -76,12 +76,12 @@
     "loads, first", [((1.5, 1.5), 0), ((1.2, 1.5), 1), ((1.5, 1.2), 0)]
 )
 def test_only_the_first_of_two_overloaded_owners_leaves_for_one_member(loads, first):
-    left_ms = leaving_moments(loads)
+    left_ms = leave_times(loads)
     assert left_ms[first] is not None
     assert left_ms[1 - first] is None
 
 
-def reason_after_a_while(local, statuses_at):
+def eventual_reason(local, statuses_at):
     rule = HandoverPolicy(tier=Tier.FULL, address="a")
     for now_ms in range(0, 10_000, STEP_MS):
         reason = rule.reason(float(now_ms), local=local, statuses=statuses_at(now_ms))
@@ -92,13 +92,13 @@
 
 def test_nobody_leaves_while_another_cell_is_on_its_way():
     local = local_status(0, value=1.5)
-    assert reason_after_a_while(local, lambda now: [status("c", heard_ms=now)]) is None
+    assert eventual_reason(local, lambda now: [status("c", heard_ms=now)]) is None
 
 
 def test_a_lone_overloaded_owner_leaves_for_who_owns_nothing():
     local = local_status(0, value=1.5)
     assert (
-        reason_after_a_while(
+        eventual_reason(
             local,
             lambda now: [
                 status("b", cell=1, load_percent=40, heard_ms=now),
@@ -120,10 +120,10 @@
     ):
         now_ms += STEP_MS
     rule.on_left(now_ms)
-    back_ms = now_ms = rule.cooldown_until_ms + STEP_MS
+    regained_ms = now_ms = rule.cooldown_until_ms + STEP_MS
     while (
         rule.reason(now_ms, local=local, statuses=[status("b", heard_ms=now_ms)])
         is None
     ):
         now_ms += STEP_MS
-    assert now_ms - back_ms >= 5_000.0
+    assert now_ms - regained_ms >= 5_000.0
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
@@ -53,7 +53,7 @@
     assert not first.must_wait()
 
 
-class Newcomer:
+class NewInstance:
     """An instance that was started in an outage, or without one.
 
     The story, from the large deployment's day scale-2: an instance was started while
@@ -70,47 +70,47 @@
         daemon.layout.cells = 0
         daemon.readiness.hears_all_owners = False
         daemon.membership = SimpleNamespace(in_group=False)
-        self._first = JoinDeferral(daemon=daemon)
+        self._deferral = JoinDeferral(daemon=daemon)
 
-    def read_is_answered(self):
+    def answer_read(self):
         self.daemon.store_readable_since_ms = self.timers.now_ms
 
     def must_wait(self):
-        return self._first.must_wait()
+        return self._deferral.must_wait()
 
 
 @pytest.fixture
-def newcomer(daemon, timers):
-    return Newcomer(daemon, timers)
+def new_instance(daemon, timers):
+    return NewInstance(daemon, timers)
 
 
-def test_a_newcomer_sends_no_join_while_the_store_is_away(newcomer, timers):
+def test_a_newcomer_sends_no_join_while_the_store_is_away(new_instance, timers):
     """A join without an answer may be carried out on the store's return."""
     for _ in range(100):
-        assert newcomer.must_wait()
+        assert new_instance.must_wait()
         timers.run(50)
 
 
-def test_a_newcomer_joins_after_the_owner_had_time_to(newcomer, timers):
-    assert newcomer.must_wait()
+def test_a_newcomer_joins_after_the_owner_had_time_to(new_instance, timers):
+    assert new_instance.must_wait()
     timers.run(2_000)
-    newcomer.read_is_answered()
+    new_instance.answer_read()
     timers.run(300)
-    assert newcomer.must_wait()
+    assert new_instance.must_wait()
     timers.run(200)
-    assert not newcomer.must_wait()
+    assert not new_instance.must_wait()
 
 
-def test_a_newcomer_that_is_answered_at_once_does_not_wait(newcomer, timers):
-    assert newcomer.must_wait()
+def test_a_newcomer_that_is_answered_at_once_does_not_wait(new_instance, timers):
+    assert new_instance.must_wait()
     timers.run(10)
-    newcomer.read_is_answered()
-    assert not newcomer.must_wait()
+    new_instance.answer_read()
+    assert not new_instance.must_wait()
 
 
 def test_one_that_steps_in_later_while_the_store_answers_does_not_wait(
-    newcomer, timers
+    new_instance, timers
 ):
-    newcomer.read_is_answered()
+    new_instance.answer_read()
     timers.run(5_000)
-    assert not newcomer.must_wait()
+    assert not new_instance.must_wait()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_load.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_load.py
@@ -11,7 +11,7 @@
 SAMPLE_MS = 100.0
 
 
-class Owner:
+class SimulatedOwner:
     """Take turns for a while, with what they meet."""
 
     def __init__(self, *, link_mbps=0.0):
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def owner():
-    owner = Owner()
+    owner = SimulatedOwner()
     owner.run(1_000)
     return owner
 
@@ -68,7 +68,7 @@
     ],
 )
 def test_each_of_lag_processor_appends_and_queues_overloads_an_owner(sight):
-    owner = Owner(link_mbps=5.0)
+    owner = SimulatedOwner(link_mbps=5.0)
     owner.run(8_000, **sight)
     assert owner.load.is_overloaded
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
@@ -43,7 +43,7 @@
     handler = RequestHandler(
         cell=SimpleNamespace(intake=intake, journal=Journal()),
         ownership=SimpleNamespace(is_certain=lambda: is_certain),
-        pump=SimpleNamespace(is_store_unavailable=pump_says_away),
+        pipeline=SimpleNamespace(is_store_unavailable=pump_says_away),
         metrics=metrics,
         timers=None,  # where nothing is told of a caller's patience, none is needed
         apply_effects=lambda: None,
