--- a/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
@@ -21,7 +21,7 @@
 RETRY_PERIOD_MS = 50.0
 # A request whose outcome is unknown cannot be retried safely by its caller, so it waits
 # longer: until the next owner serves, also where the membership has to lapse first.
-FIND_SUCCESSOR_MS = 1_600.0
+FIND_NEXT_OWNER_MS = 1_600.0
 # Poll period for pending requests of cells that have since come to this instance.
 OWN_CELLS_CHECK_MS = 100.0
 # Typical duration of a takeover.
@@ -255,7 +255,7 @@
     def _find_until(self, pending):
         """Return until when the next owner of a cell is looked for."""
         if pending.kind in ("submit", "cancel"):
-            find_ms = FIND_SUCCESSOR_MS
+            find_ms = FIND_NEXT_OWNER_MS
         else:
             find_ms = FIND_OWNER_MS
         return min(pending.deadline_ms, steady_ms() + find_ms)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
@@ -50,7 +50,7 @@
         lost_since_ms = self._lost_since_ms.setdefault(address, steady_ms())
         membership = self._daemon.membership
         if membership.renewed_ms > lost_since_ms:
-            self._take_out(address, "lost the store")
+            self._evict(address, "lost the store")
         elif membership.in_group:
             membership.join_now()
 
@@ -61,9 +61,9 @@
             if address is None or address == daemon.settings.peer:
                 continue
             if daemon.links.is_silent(address, OWNER_TIMEOUT_MS):
-                self._take_out(address, "silent")
+                self._evict(address, "silent")
 
-    def _take_out(self, address, reason):
+    def _evict(self, address, reason):
         now_ms = steady_ms()
         if now_ms < self._not_before_ms.get(address, 0.0):
             return
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -22,7 +22,7 @@
 
 # Links of a group member beside those to owners. They distinguish a silent owner
 # from a network partition of its own. Others evict nobody and need none.
-NEIGHBOURS = 3
+NEIGHBOUR_LINKS = 3
 # How often the group is read while too few members are known; a new member may have
 # read it before the others joined.
 FIND_NEIGHBOURS_PERIOD_MS = 2_000.0
@@ -125,13 +125,13 @@
         """Keep links to a few other members, chosen by hash so that choices differ."""
         own = self._daemon.settings.peer
         others = self._daemon.directory.members - {own}
-        if len(others) < NEIGHBOURS and steady_ms() >= self._neighbours_due_ms:
+        if len(others) < NEIGHBOUR_LINKS and steady_ms() >= self._neighbours_due_ms:
             self._neighbours_due_ms = steady_ms() + FIND_NEIGHBOURS_PERIOD_MS
             self._daemon.directory.refresh()
         ranked = sorted(
             others, key=lambda other: xxhash.xxh32_intdigest(f"{own}|{other}".encode())
         )
-        for address in ranked[:NEIGHBOURS]:
+        for address in ranked[:NEIGHBOUR_LINKS]:
             self._daemon.links.to(address)
 
     def on_message(self, link, message):
