--- a/packages/thymefork-daemon/src/thymefork_daemon/layout.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/layout.py
@@ -36,7 +36,7 @@
         self._tier = tier
         self._store = store
         self._timers = timers
-        self._most_cells = max_cells
+        self._max_cells = max_cells
         self._worker_list = worker_list
         self._on_known = on_known
         self._began_ms = steady_ms()
@@ -49,7 +49,7 @@
         partitions and the earliest member keeps the last ones, so cells are numbered
         from the end: an owner keeps its cell while others join and leave.
         """
-        return self._most_cells - 1 - cell * self._most_cells // max(1, self.cells)
+        return self._max_cells - 1 - cell * self._max_cells // max(1, self.cells)
 
     @property
     def best_tier(self):
@@ -79,9 +79,9 @@
         if values.get(CELLS_KEY):
             self._read_cells(values[CELLS_KEY])
             return
-        settled = steady_ms() - self._began_ms > WORKER_REGISTRATION_MS
+        workers_are_registered = steady_ms() - self._began_ms > WORKER_REGISTRATION_MS
         self._worker_list.set_wanted(True)
-        if settled and self._worker_list.entries:
+        if workers_are_registered and self._worker_list.entries:
             self._propose(result.end_offset)
         else:
             self._retry_later()
@@ -95,7 +95,7 @@
             cells = orjson.loads(value)["cells"]
         except (ValueError, TypeError, KeyError) as failure:
             cells = repr(failure)
-        if type(cells) is int and 0 < cells <= self._most_cells:
+        if type(cells) is int and 0 < cells <= self._max_cells:
             self._set_cells(cells)
             return
         line = logger.bind(event="layout_unreadable", cells=cells)
@@ -125,7 +125,7 @@
 
     def _propose(self, end_offset):
         count = len(self._worker_list.entries)
-        cells = max(1, min(self._most_cells, round(count / WORKERS_PER_CELL)))
+        cells = max(1, min(self._max_cells, round(count / WORKERS_PER_CELL)))
         self._store.append(
             topic=TOPIC,
             partition=0,
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -208,7 +208,7 @@
         self._owned_by_link[link] = owned
 
     def withdraw_advice(self, link, call_ids):
-        """Tell an instance that the answers to some calls are no longer needed.
+        """Notify an instance that the answers to some calls are no longer needed.
 
         Skipped with a single cell, whose calls do not wait for those of other owners.
         """
