--- a/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
@@ -152,7 +152,7 @@
             spec=spec,
             workers=usable,
             hall=best_hall(spec, suitable, len(tasks)),
-            tasks_per_worker=step.runs_per_worker() if spec.most_per_worker else None,
+            runs_per_worker=step.runs_per_worker() if spec.most_per_worker else None,
             rate=partial(fit_score, spec, speed_scorer=fit),
             has_unasked_workers=self._advice.has_unasked_workers(step, workers),
         )
@@ -183,7 +183,7 @@
             spec=step.spec,
             workers=self._trials.workers_for(step, ready, permitted, now_ms),
             hall="",
-            tasks_per_worker=step.runs_per_worker()
+            runs_per_worker=step.runs_per_worker()
             if step.spec.most_per_worker
             else None,
             rate=partial(self._trials.rate, step),
--- a/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_worker_ranking.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_worker_ranking.py
@@ -16,7 +16,7 @@
 HALLS = ("a", "b", "c")
 
 
-def best_by_scan(spec, task, workers, tasks_per_worker, hall):
+def best_by_scan(spec, task, workers, runs_per_worker, hall):
     """Return the best worker by rating all of them: the reference."""
     best, best_score = None, None
     for worker in workers:
@@ -29,8 +29,8 @@
         if any(run.worker is worker for run in task.runs):
             continue
         if (
-            tasks_per_worker
-            and tasks_per_worker.get(worker.worker_id, 0) >= spec.most_per_worker
+            runs_per_worker
+            and runs_per_worker.get(worker.worker_id, 0) >= spec.most_per_worker
         ):
             continue
         score = fit_score(spec, worker)
@@ -107,24 +107,22 @@
     rng = random.Random(seed)
     workers, spec, hall = make_workers(rng), make_spec(rng), rng.choice(HALLS)
     tasks = make_tasks(rng, spec, workers)
-    tasks_per_worker = tasks[0].step.runs_per_worker() if spec.most_per_worker else None
+    runs_per_worker = tasks[0].step.runs_per_worker() if spec.most_per_worker else None
     ranking = WorkerRanking(
         rate=partial(fit_score, spec),
         spec=spec,
         workers=workers,
         hall=hall,
-        tasks_per_worker=dict(tasks_per_worker)
-        if tasks_per_worker is not None
-        else None,
+        runs_per_worker=dict(runs_per_worker) if runs_per_worker is not None else None,
     )
     for task in tasks:
-        expected = best_by_scan(spec, task, workers, tasks_per_worker, hall)
+        expected = best_by_scan(spec, task, workers, runs_per_worker, hall)
         assert ranking.best_for(task) is expected
         if expected is None:
             continue
         give(task, expected)
         ranking.on_assigned()
-        if tasks_per_worker is not None:
-            tasks_per_worker[expected.worker_id] = (
-                tasks_per_worker.get(expected.worker_id, 0) + 1
+        if runs_per_worker is not None:
+            runs_per_worker[expected.worker_id] = (
+                runs_per_worker.get(expected.worker_id, 0) + 1
             )
--- a/packages/thymefork-cells/src/thymefork_cells/placement/worker_ranking.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/worker_ranking.py
@@ -62,13 +62,13 @@
     """
 
     def __init__(
-        self, *, spec, workers, hall, tasks_per_worker, rate, has_unasked_workers=False
+        self, *, spec, workers, hall, runs_per_worker, rate, has_unasked_workers=False
     ):
         self._spec = spec
         self._rate_alone = rate
         self._may_find_others = has_unasked_workers
         self._hall = hall
-        self._counts = tasks_per_worker
+        self._counts = runs_per_worker
         self._size = len(workers)
         self._given = None
         self._rows = [
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
@@ -81,8 +81,8 @@
         What waits would go out on a broken link otherwise. A call that is failed may
         lead to others, and a link that breaks under those comes back to here.
         """
-        gone = [self._proxies.pop(name) for name in sorted(names)]
-        for proxy in gone:
+        removed = [self._proxies.pop(name) for name in sorted(names)]
+        for proxy in removed:
             self._fail(proxy)
 
     def end(self):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
@@ -58,7 +58,7 @@
     return dispatcher
 
 
-def advice_call(name="s", cost_ms=900.0):
+def long_call(name="s", cost_ms=900.0):
     step = SimpleNamespace(name=name, job=SimpleNamespace(is_live=True))
     return RequestAdvice(step=step, worker_ids=("w",), cost_ms=cost_ms, priority=1)
 
@@ -81,15 +81,15 @@
     for run_cycle in (0.0, 0.5):
         dispatcher = make_dispatcher(timers, links, run_cycle)
         for _ in range(4):
-            dispatcher.ask(advice_call())
+            dispatcher.ask(long_call())
     assert max(len(link.sent) for link in links) == 1
 
 
 def test_a_call_waits_for_another_owners_call_at_the_same_instance(timers):
     links = [FakeLink("edge-0")]
     dispatcher = make_dispatcher(timers, links, 0.0)
-    dispatcher.ask(advice_call())
-    dispatcher.ask(advice_call())
+    dispatcher.ask(long_call())
+    dispatcher.ask(long_call())
     timers.run(2 * 900)  # both calls of two owners, one after the other
     assert len(links[0].sent) == 1
 
@@ -99,14 +99,14 @@
     links = [FakeLink(name) for name in NAMES]
     dispatcher = make_dispatcher(timers, links, 0.0)
     for _ in range(20):
-        dispatcher.ask(advice_call())
+        dispatcher.ask(long_call())
     step = SimpleNamespace(name="late", job=SimpleNamespace(is_live=True))
     dispatcher.ask(
         RequestAdvice(step=step, worker_ids=("w",), cost_ms=900.0, priority=2)
     )
     for _ in range(12):
         timers.run(250)
-        dispatcher.ask(advice_call())
+        dispatcher.ask(long_call())
         for link in links:
             if link.sent:
                 reply = SimpleNamespace(
@@ -116,7 +116,7 @@
                     valid_ms=2_000,
                 )
                 dispatcher.on_reply(reply)
-                dispatcher.ask(advice_call())
+                dispatcher.ask(long_call())
     asked = [message.step for link in links for message in link.sent]
     assert "late" in asked
 
@@ -130,7 +130,7 @@
         for name, steps in taken.items()
     }
     for name, dispatcher in owners.items():
-        dispatcher.ask(advice_call(f"step-of-{name}"))
+        dispatcher.ask(long_call(f"step-of-{name}"))
     first, _ = link.sent
     for dispatcher in owners.values():
         dispatcher.on_reply(reply_to(first))
@@ -141,11 +141,11 @@
     """From a review: the cell was lost and regained, and call ids began anew."""
     link, answers = FakeLink("edge-0"), []
     former = make_dispatcher(timers, [link], 0.0, instance="edge-9")
-    former.ask(advice_call("former"))
+    former.ask(long_call("former"))
     following = make_dispatcher(
         timers, [link], 0.0, lambda *row: answers.append(row), "edge-9"
     )
-    following.ask(advice_call("following"))
+    following.ask(long_call("following"))
     following.on_reply(reply_to(link.sent[0]))
     assert not answers
 
@@ -156,7 +156,7 @@
     answered = []
     dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for name in "abc":  # two of the four instances take long calls: the third waits
-        dispatcher.ask(advice_call(name))
+        dispatcher.ask(long_call(name))
     links[0].sent.clear()
     dispatcher.update(links[1:])
     assert answered == ["a"]
@@ -169,10 +169,10 @@
     answered = []
     dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for name in "abcde":  # one for each instance, and one that waits
-        dispatcher.ask(advice_call(name, cost_ms=100.0))
-    newcomer = FakeLink("edge-3")
-    newcomer.send = lambda message: dispatcher.update([])
-    dispatcher.update([*links[1:], newcomer])
+        dispatcher.ask(long_call(name, cost_ms=100.0))
+    new_link = FakeLink("edge-3")
+    new_link.send = lambda message: dispatcher.update([])
+    dispatcher.update([*links[1:], new_link])
     assert sorted(answered) == ["b", "c", "d", "e"]  # the own instance works on a
 
 
@@ -182,9 +182,9 @@
     client = FakeAdviceClient()
     dispatcher = make_dispatcher(timers, links, 0.25, client=client)
     for name in ("long-1", "long-2", "long-3"):  # edge-1 and edge-2 take long calls
-        dispatcher.ask(advice_call(name))
+        dispatcher.ask(long_call(name))
     links[0].send = lambda message: dispatcher.update([])
-    dispatcher.ask(advice_call("short", cost_ms=100.0))
+    dispatcher.ask(long_call("short", cost_ms=100.0))
     assert client.asked == ["long-3"]
 
 
@@ -194,12 +194,12 @@
     answered = []
     dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for number in range(7):  # as many as there are instances for long calls
-        dispatcher.ask(advice_call(f"s{number}"))
+        dispatcher.ask(long_call(f"s{number}"))
     timers.run(3_500)  # none is answered, and all seven are paused
     assert len(answered) == 7
     for link in links:
         link.sent.clear()
-    dispatcher.ask(advice_call("again"))
+    dispatcher.ask(long_call("again"))
     assert not any(link.sent for link in links)
     timers.run(1_500)
     assert [row.step for link in links for row in link.sent] == ["again"]
@@ -211,9 +211,9 @@
     client = FakeAdviceClient()
     dispatcher = make_dispatcher(timers, links, 0.25, client=client)
     for name in ("long-1", "long-2", "long-3"):  # edge-1 and edge-2 take long calls
-        dispatcher.ask(advice_call(name))
+        dispatcher.ask(long_call(name))
     links[0].send = lambda message: dispatcher.end()
-    dispatcher.ask(advice_call("short", cost_ms=100.0))
+    dispatcher.ask(long_call("short", cost_ms=100.0))
     dispatcher.update([])
     assert not client.asked
 
@@ -221,29 +221,29 @@
 def test_a_call_takes_a_slot_until_it_is_answered(timers):
     links = [FakeLink(f"edge-{number}") for number in range(9)]
     dispatcher = make_dispatcher(timers, links, 0.0)
-    assert (dispatcher.slots.any_call, dispatcher.slots.advice_call) == (10, 7)
-    dispatcher.ask(advice_call())
-    assert (dispatcher.slots.any_call, dispatcher.slots.advice_call) == (9, 6)
+    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (10, 7)
+    dispatcher.ask(long_call())
+    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (9, 6)
     [asked] = [link.sent[0] for link in links if link.sent]
     dispatcher.on_reply(reply_to(asked))
-    assert (dispatcher.slots.any_call, dispatcher.slots.advice_call) == (10, 7)
+    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (10, 7)
 
 
 def test_a_paused_instance_has_no_slot(timers):
     dispatcher = make_dispatcher(timers, [FakeLink("edge-0")], 0.0)
-    dispatcher.ask(advice_call())
+    dispatcher.ask(long_call())
     timers.run(3_300)  # it is not answered, and the instance is paused
-    assert (dispatcher.slots.any_call, dispatcher.slots.advice_call) == (1, 0)
+    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (1, 0)
 
 
 def test_long_calls_may_take_nearly_all_instances_while_short_ones_are_few(timers):
     """From cab-bogota, shifted: nine of 29 instances idled beside steps that waited."""
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
     dispatcher = make_dispatcher(timers, links, 0.0)
-    assert dispatcher.slots.advice_call == 14
+    assert dispatcher.slots.long_call == 14
     timers.run(5_100)
-    dispatcher.ask(advice_call())
-    assert dispatcher.slots.advice_call == 18
+    dispatcher.ask(long_call())
+    assert dispatcher.slots.long_call == 18
 
 
 def test_instances_are_kept_for_as_many_short_calls_as_there_were(timers):
@@ -251,9 +251,9 @@
     dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
     for _ in range(2):
-        dispatcher.ask(advice_call(cost_ms=60.0))
+        dispatcher.ask(long_call(cost_ms=60.0))
     assert (
-        dispatcher.slots.advice_call == 15
+        dispatcher.slots.long_call == 15
     )  # of 20, with five kept for twice two and one
 
 
@@ -262,14 +262,12 @@
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
     dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
-    dispatcher.ask(advice_call())
-    assert dispatcher.slots.advice_call == 18
+    dispatcher.ask(long_call())
+    assert dispatcher.slots.long_call == 18
     timers.run(100)
     for _ in range(2):
-        dispatcher.ask(advice_call(cost_ms=60.0))
-    assert (
-        dispatcher.slots.advice_call == 14
-    )  # of 20, five are kept and one is under way
+        dispatcher.ask(long_call(cost_ms=60.0))
+    assert dispatcher.slots.long_call == 14  # of 20, five are kept and one is under way
 
 
 def end_job(call):
@@ -279,31 +277,34 @@
 
 def test_what_waits_for_jobs_that_have_ended_takes_no_slot(timers):
     dispatcher = make_dispatcher(timers, [FakeLink("edge-0")], 0.0)
-    calls = [advice_call(f"s{number}") for number in range(6)]
+    calls = [long_call(f"s{number}") for number in range(6)]
     for call in calls:
         dispatcher.ask(call)
     assert dispatcher.slots.any_call == -4  # one is under way, five wait for long calls
     for call in calls[1:]:
         end_job(call)
     slots = dispatcher.current_slots()
-    assert (slots.any_call, slots.advice_call) == (1, 0)
+    assert (slots.any_call, slots.long_call) == (1, 0)
 
 
 def test_another_instance_is_told_once_of_a_call_in_vain(timers):
-    told = []
+    notified = []
     link = FakeLink("edge-0")
     dispatcher = make_dispatcher(
-        timers, [link], 0.0, notify_withdrawn=lambda link, ids: told.append((link, ids))
+        timers,
+        [link],
+        0.0,
+        notify_withdrawn=lambda link, ids: notified.append((link, ids)),
     )
-    call, stays = advice_call("leaves"), advice_call("stays")
+    call, stays = long_call("leaves"), long_call("stays")
     dispatcher.ask(call)
     dispatcher.ask(stays)
     dispatcher.current_slots()
-    assert not told
+    assert not notified
     end_job(call)
     for _ in range(3):
         dispatcher.current_slots()
-    assert told == [(link, [link.sent[0].call_id])]
+    assert notified == [(link, [link.sent[0].call_id])]
     reply = reply_to(link.sent[0])
     reply.answered = False
     dispatcher.on_reply(reply)
@@ -313,7 +314,7 @@
 def test_an_own_call_that_has_not_left_is_not_made_in_vain(timers):
     client = FakeAdviceClient()
     dispatcher = make_dispatcher(timers, [], 0.0, client=client)
-    call = advice_call()
+    call = long_call()
     dispatcher.ask(call)
     (wanted,) = client.wanted
     assert wanted()
@@ -323,17 +324,17 @@
 
 def test_a_link_that_breaks_under_the_news_of_a_call_in_vain(timers):
     links = [FakeLink("edge-0"), FakeLink("edge-1")]
-    told = []
+    notified = []
 
-    def tell(link, call_ids):
-        told.append(call_ids)
+    def notify(link, call_ids):
+        notified.append(call_ids)
         dispatcher.update([])
 
-    dispatcher = make_dispatcher(timers, links, 0.0, notify_withdrawn=tell)
-    calls = [advice_call(f"s{n}", cost_ms=100.0) for n in range(3)]
+    dispatcher = make_dispatcher(timers, links, 0.0, notify_withdrawn=notify)
+    calls = [long_call(f"s{n}", cost_ms=100.0) for n in range(3)]
     for call in calls:
         dispatcher.ask(call)
     for call in calls:
         end_job(call)
     assert dispatcher.current_slots().any_call == 0  # the own one is busy still
-    assert len(told) == 1
+    assert len(notified) == 1
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
@@ -33,15 +33,15 @@
 
 @pytest.fixture
 def owner():
-    lost, heard = [], []
+    lost, refusals = [], []
     cell = SimpleNamespace(
-        on_stop=lambda run, answer, now_ms: heard.append(answer.refusal)
+        on_stop=lambda run, answer, now_ms: refusals.append(answer.refusal)
     )
     return SimpleNamespace(
         epoch=EPOCH,
         cell=cell,
         lost=lost,
-        heard=heard,
+        refusals=refusals,
         drop_ownership=lost.append,
         may_poll=lambda: True,
         may_renew_leases=lambda: True,
@@ -74,7 +74,7 @@
 def test_a_newer_owners_fence_loses_the_cell(owner, client):
     stop = send_stop(owner, client, make_worker())
     stop["done"](CommandAnswer(refusal=Refusal.FENCED, clock_ms=5))
-    assert owner.lost and not owner.heard
+    assert owner.lost and not owner.refusals
 
 
 def test_the_fence_of_the_workers_next_life_does_not_lose_the_cell(owner, client):
@@ -82,7 +82,7 @@
     stop = send_stop(owner, client, worker)
     worker.is_over = True
     stop["done"](CommandAnswer(refusal=Refusal.FENCED, clock_ms=5))
-    assert not owner.lost and owner.heard == [Refusal.FENCED]
+    assert not owner.lost and owner.refusals == [Refusal.FENCED]
 
 
 @pytest.mark.parametrize("state", [RunState.STOPPING, RunState.GONE])
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
@@ -7,7 +7,7 @@
 from thymefork_daemon.owner import CellOwner, advice_dispatcher as dispatcher_module
 
 from .fakes import FakeMetrics, FakeStore, capacity_attributes
-from .test_advice_dispatcher import FakeAdviceClient, FakeLink, advice_call, reply_to
+from .test_advice_dispatcher import FakeAdviceClient, FakeLink, long_call, reply_to
 
 CLOCK_MODULES = (dispatcher_module,)
 
@@ -33,8 +33,8 @@
     owner = CellOwner(cell=0, epoch=1, daemon=daemon)
     link = FakeLink("edge-0")
     owner._advice_dispatcher.update([link])
-    owner._advice_dispatcher.ask(advice_call("under way"))
-    owner._advice_dispatcher.ask(advice_call("waiting"))
+    owner._advice_dispatcher.ask(long_call("under way"))
+    owner._advice_dispatcher.ask(long_call("waiting"))
     assert [message.step for message in link.sent] == ["under way"]
     return owner, link
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
@@ -10,7 +10,7 @@
 
 from .fakes import FakeMetrics
 
-STORED, ON_ITS_WAY, NEW = "stored", "on its way", "new"
+STORED, IN_FLIGHT, NEW = "stored", "on its way", "new"
 
 
 class FakeIntake:
@@ -23,7 +23,7 @@
         return job_id == STORED
 
     def has_job(self, job_id):
-        return job_id in (STORED, ON_ITS_WAY)
+        return job_id in (STORED, IN_FLIGHT)
 
     def read(self, respond, job_id, *, account_name):
         self.asked.append(("read", job_id))
@@ -52,7 +52,7 @@
     return intake.asked, metrics.counts, replies
 
 
-@pytest.mark.parametrize("job_id", [STORED, ON_ITS_WAY, NEW])
+@pytest.mark.parametrize("job_id", [STORED, IN_FLIGHT, NEW])
 @pytest.mark.parametrize("kind", ["read", "submit", "cancel"])
 def test_all_is_decided_while_the_store_answers(kind, job_id):
     asked, counts, replies = handle(kind, job_id)
@@ -67,10 +67,10 @@
     "kind, job_id, decided",
     [
         ("read", STORED, True),
-        ("read", ON_ITS_WAY, False),
+        ("read", IN_FLIGHT, False),
         ("read", NEW, False),
         ("submit", STORED, True),
-        ("submit", ON_ITS_WAY, True),
+        ("submit", IN_FLIGHT, True),
         ("submit", NEW, False),
         ("cancel", STORED, False),
         ("cancel", NEW, False),
