--- a/packages/thymefork-cells/src/thymefork_cells/cell.py
+++ b/packages/thymefork-cells/src/thymefork_cells/cell.py
@@ -165,7 +165,7 @@
         if now_ms >= self._review_due_ms:
             self._review_due_ms = now_ms + REVIEW_MS
             self.quorum.check(now_ms)
-            self.registry.expire(now_ms)
+            self.registry.expire_leases(now_ms)
             self.extended_leases.review(now_ms)
             self.commands.stop_unconfirmed_starts(now_ms)
             self.commands.log_overdue_stops(now_ms)
@@ -217,23 +217,23 @@
 
     # Outcomes of effects -----------------------------------------------------
 
-    def on_start(self, run, answer, *, now_ms):
+    def on_start_answer(self, run, answer, *, now_ms):
         """Apply the answer to a start."""
         if answer.refusal is Refusal.OTHER_LIFE:
             # This run never was on the life that is over, so it can't have ended it.
             self.lifecycle.release(run, now_ms=now_ms)
             self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
-        self.commands.on_start(run, answer, now_ms=now_ms)
+        self.commands.on_start_answer(run, answer, now_ms=now_ms)
 
-    def on_stop(self, run, answer, *, now_ms):
+    def on_stop_answer(self, run, answer, *, now_ms):
         """Apply the answer to a stop."""
         if answer.refusal is Refusal.OTHER_LIFE:
             self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
-        self.commands.on_stop(run, answer, now_ms=now_ms)
+        self.commands.on_stop_answer(run, answer, now_ms=now_ms)
 
-    def on_pace(self, run, percent, answer, *, now_ms):
+    def on_pace_answer(self, run, percent, answer, *, now_ms):
         """Apply the answer to an order to pace a run."""
         if answer.refusal is Refusal.OTHER_LIFE:
             self.on_other_incarnation(run.worker, now_ms=now_ms)
@@ -248,7 +248,7 @@
         verdict = self.incarnations.match_report(worker, born_epoch_ms, now_ms)
         if verdict is IncarnationMatch.NEXT:
             entry = self.incarnations.placeholder_entry(worker)
-            self.incarnations.begin(
+            self.incarnations.start_next(
                 worker, entry=entry, born_epoch_ms=born_epoch_ms, now_ms=now_ms
             )
         elif verdict is IncarnationMatch.EARLIER:
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -61,7 +61,7 @@
     poll_sent_ms: float = 0.0
     quick_poll_sent_ms: float = 0.0
     stop_answered_ms: float = 0.0
-    misses_in_row: int = 0
+    unanswered_in_row: int = 0
     unanswered_since_ms: float = 0.0
     unlisted_since_ms: float = 0.0
     leases_expired_ms: float = 0.0
@@ -227,11 +227,11 @@
     @property
     def is_suspect(self):
         """Tell whether it has not answered since it, or its hall, fell silent."""
-        return self.misses_in_row > 0 or self.last_answer_ms < self.suspected_ms
+        return self.unanswered_in_row > 0 or self.last_answer_ms < self.suspected_ms
 
     def is_silent(self, now_ms):
         """Tell whether it was asked because of a doubt and has not answered soon."""
-        if self.misses_in_row:
+        if self.unanswered_in_row:
             return True
         in_doubt = self.last_answer_ms < self.suspected_ms
         return in_doubt and now_ms - self.suspected_ms > SILENT_MS
--- a/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
@@ -17,7 +17,7 @@
     `befalls(message)` tells after how many milliseconds each copy of a message comes,
     none for one that is lost. `is_cut(one, other)` tells whether two cells' owners hear
     each other. A limit that was replaced may be in force for `applied_ms` still.
-    `most_cpu_milli` is the most that the workers of all cells ran of the account at
+    `max_cpu_milli` is the most that the workers of all cells ran of the account at
     once, and `violations` the moments at which that was over every limit in force.
     """
 
@@ -28,7 +28,7 @@
         self._replaced = []
         self.applied_ms = 50.0
         self.violations = []
-        self.most_cpu_milli = 0
+        self.max_cpu_milli = 0
         self.stalled_since = {}
         self.longest_stall_ms = 0.0
         self.messages = 0
@@ -73,7 +73,7 @@
     def kill(self, cell, *, for_ms):
         """End the owner of a cell; another takes the cell over after a while."""
         harness = self.cells[cell]
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run_after(for_ms, harness.take_over)
 
     def cpu_running(self, cell=None):
@@ -97,7 +97,9 @@
     def _carry(self, message, after_ms):
         yield self.env.timeout(after_ms)
         harness = self.cells[message.to_cell]
-        if not harness.dead and not self.is_link_down(message.borrower, message.lender):
+        if not harness.is_owner_down and not self.is_link_down(
+            message.borrower, message.lender
+        ):
             harness.cell.on_parts(message, now_ms=self.now)
 
     # The rules -----------------------------------------------------------------
@@ -110,7 +112,7 @@
             if running > most_before and running > self._highest_limit():
                 self.violations.append((self.now, running))
             most_before = running
-            self.most_cpu_milli = max(self.most_cpu_milli, running)
+            self.max_cpu_milli = max(self.max_cpu_milli, running)
             if self.now % 50 == 0:
                 self._look_for_standstill(running)
             yield self.env.timeout(5)
@@ -129,7 +131,7 @@
         """Note for how long a job has had nothing running below half of the limit."""
         holds_little = 2 * running < min(map(_limit_of, self.cells))
         for harness in self.cells:
-            if harness.dead:
+            if harness.is_owner_down:
                 continue
             for job in harness.cell.context.live_jobs.values():
                 if job.runs or not holds_little:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/command_transport.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/command_transport.py
@@ -53,7 +53,7 @@
                 yield self._harness.env.timeout(COMMAND_TIMEOUT_MS)
                 answer = CommandAnswer(refusal=Refusal.SILENCE)
         if self._harness.is_current(cell):
-            cell.on_start(run, answer, now_ms=self._harness.now)
+            cell.on_start_answer(run, answer, now_ms=self._harness.now)
 
     def _answer_to_start(self, effect, worker, start):
         refusal = self._harness.refusal_for(effect)
@@ -67,11 +67,11 @@
         if answer.refusal is Refusal.NONE:
             self._harness.check_capacity(worker, task)
             if self._harness.gangs is not None:
-                self._harness.gangs.on_start(worker, task, order[0])
+                self._harness.gangs.on_start_answer(worker, task, order[0])
         after_ms = self._harness.crashes_after_ms(task)
         if answer.refusal is Refusal.NONE and after_ms is not None:
             self._harness.env.process(
-                self._harness.faults.crash_by(task, worker, after_ms)
+                self._harness.faults.crash_if_running(task, worker, after_ms)
             )
         return answer
 
@@ -129,7 +129,7 @@
             answer = worker.stop(*stop, self._harness.now)
             yield self._harness.env.timeout(self._harness.answer_latency_ms(effect))
         if self._harness.is_current(cell) and not isinstance(run, fx.OrphanedRun):
-            cell.on_stop(run, answer, now_ms=self._harness.now)
+            cell.on_stop_answer(run, answer, now_ms=self._harness.now)
 
     def pace(self, cell, effect):
         run = effect.run
@@ -143,7 +143,7 @@
             yield self._harness.env.timeout(COMMAND_LATENCY_MS)
             answer = worker.pace(task, run_id, effect.percent, fence, self._harness.now)
         if self._harness.is_current(cell):
-            cell.on_pace(run, effect.percent, answer, now_ms=self._harness.now)
+            cell.on_pace_answer(run, effect.percent, answer, now_ms=self._harness.now)
 
     def poll(self, cell, effect):
         worker = self._harness.workers[effect.worker.worker_id]
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -106,7 +106,7 @@
         self.counts = Counter()
         self.asked = []
         self.allowed = lambda step, worker_id: True
-        self.dead = False
+        self.is_owner_down = False
         self.cell = None
         self.epoch = 0
         self.announced_ends = []
@@ -119,7 +119,7 @@
     def take_over(self):
         """Begin as a new owner with what is stored."""
         self.epoch += 1
-        self.dead = False
+        self.is_owner_down = False
         self.transport.forget_connections()
         self.appending = False
         self.cell = Cell(
@@ -245,7 +245,7 @@
     # The owner's part ----------------------------------------------------------
 
     def _turns(self, cell):
-        while cell is self.cell and not self.dead:
+        while cell is self.cell and not self.is_owner_down:
             self._turn(cell)
             yield self.env.timeout(self.cycle_interval_ms())
 
@@ -266,7 +266,7 @@
 
     def _append(self, cell, batch):
         yield self.env.timeout(self.append_latency_ms())
-        if cell is not self.cell or self.dead:
+        if cell is not self.cell or self.is_owner_down:
             return
         self.appending = False
         if self.store_down:
@@ -313,12 +313,12 @@
 
     def is_current(self, cell):
         """Tell whether a cell has its owner still."""
-        return cell is self.cell and not self.dead
+        return cell is self.cell and not self.is_owner_down
 
     def publish_worker_list(self, entries):
         """Change the platform's list; the owner reads it unless the store is away."""
         self.entries = entries
-        if not self.dead and not self.store_down:
+        if not self.is_owner_down and not self.store_down:
             self.cell.registry.update(entries, now_ms=self.now)
 
     def crash(self, worker):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/mixed_speed_site.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/heterogeneous_site.py
@@ -7,7 +7,7 @@
 
 from .harness import Harness, job_spec
 
-__all__ = ["BATCH", "FAST", "SLOW", "SMALL", "JobShape", "MixedSpeedSite"]
+__all__ = ["BATCH", "FAST", "SLOW", "SMALL", "HeterogeneousSite", "JobShape"]
 
 # A third of the workers is 2.4 times as fast as the others.
 SLOW = 1.0 / 0.7
@@ -52,7 +52,7 @@
         return super().get(task, usual_ms) * (TAIL_FACTOR if is_tail else 1.0)
 
 
-class MixedSpeedSite(Harness):
+class HeterogeneousSite(Harness):
     """Send jobs at a steady pace and keep what each task's work is."""
 
     def __init__(self, *, seed, slownesses=(SLOW, SLOW, FAST), workers=WORKERS):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/idle_cell_owners.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/idle_cell_owners.py
@@ -35,7 +35,7 @@
         harness = self._harness
         if message.to_cell != harness.cell.context.cell:
             self._cell(message.to_cell).on_parts(message, now_ms=harness.now)
-        elif not harness.dead:
+        elif not harness.is_owner_down:
             harness.cell.on_parts(message, now_ms=harness.now)
 
     def _cell(self, index):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/machine_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/machine_faults.py
@@ -26,7 +26,7 @@
         self._harness = harness
         self._gone_entries = {}
 
-    def crash_by(self, task, worker, after_ms):
+    def crash_if_running(self, task, worker, after_ms):
         yield self._harness.env.timeout(after_ms)
         worker.advance(self._harness.now)
         if any(name == task for name, _ in worker.running):
@@ -46,7 +46,7 @@
                 entry_delay_ms=self._harness.entry_delay_ms,
             )
             return
-        worker.end_life(self._harness.now)
+        worker.end_incarnation(self._harness.now)
         self._harness.env.process(self._come_back(worker))
 
     def restart(self, worker, *, away_ms, entry_delay_ms=0.0):
@@ -55,7 +55,7 @@
         Its entry goes after three heartbeats, and is written by the new life a while
         after that has begun.
         """
-        worker.end_life(self._harness.now)
+        worker.end_incarnation(self._harness.now)
         self._harness.env.process(self._begin_again(worker, away_ms, entry_delay_ms))
 
     def disconnect_worker(self, worker, *, for_ms):
@@ -83,7 +83,7 @@
                 ]
             )
         yield self._harness.env.timeout(away_ms - lapse_ms)
-        worker.begin_life(self._harness.now)
+        worker.begin_incarnation(self._harness.now)
         born_epoch_ms = worker.born_epoch_ms
         yield self._harness.env.timeout(entry_delay_ms)
         others = [
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_cancelled_runs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_cancelled_runs.py
@@ -184,7 +184,7 @@
             count = rng.randint(0, len(self._entries))
             harness.load_worker_list(rng.sample(self._entries, count))
         if rng.random() < 0.08:
-            harness.dead = True
+            harness.is_owner_down = True
             harness.run(rng.choice([20, 300, 1_200]))
             harness.take_over()
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_capacity_changes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_capacity_changes.py
@@ -107,7 +107,7 @@
         worker.work_ms = 6_000.0
     submit_many(harness, 16, cpu_milli=1_000)
     harness.run(300)
-    harness.dead = True
+    harness.is_owner_down = True
     resize_all(harness, 3_000)
     harness.run(500)
     harness.take_over()
@@ -217,7 +217,7 @@
         for entry in rng.sample(harness.entries, 2):
             harness.resize(entry.worker_id, rng.choice((0, 2_000, 4_000, 8_000)))
         if rng.random() < 0.1:
-            harness.dead = True
+            harness.is_owner_down = True
             harness.run(300)
             harness.take_over()
         harness.run(500)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
@@ -253,7 +253,7 @@
     task = harness.job(INNOCENT).steps[0].tasks[0]
     (run,) = task.runs
     answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
-    harness.cell.on_start(run, answer, now_ms=harness.now)
+    harness.cell.on_start_answer(run, answer, now_ms=harness.now)
     assert not task.losses
     assert run not in task.runs
 
@@ -294,7 +294,7 @@
         crash_where(harness, INNOCENT)
         harness.run(3_700)
     before = losses(harness)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(500)
     harness.take_over()
     assert losses(harness) == before
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
@@ -78,7 +78,7 @@
     harness.submit(CRASHING, job_spec(SHAPES[shape]))
     for _ in range(60_000 // owned_ms):
         harness.run(owned_ms)
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run(300)
         harness.take_over()
     harness.run(30_000)  # short ownerships learn little, so it takes three leases more
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
@@ -44,7 +44,7 @@
 
 
 def replace_owner(harness):
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(300)
     harness.take_over()
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
@@ -54,7 +54,7 @@
 def test_a_successor_goes_on_with_what_runs(harness):
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 500}))
     harness.run(200)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(400)
     harness.take_over()
     harness.run(2_000)
@@ -69,7 +69,7 @@
         worker.work_ms = 20_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 8_000}))
     harness.run(300)
-    harness.dead = True
+    harness.is_owner_down = True
     is_unreachable = harness.workers["w0"]
     is_unreachable.is_unreachable = True
     task = next(iter(is_unreachable.running))[0]
@@ -80,7 +80,7 @@
     assert len(harness.starts_of(task)) == 1
     harness.workers["w1"].is_unreachable = False
     harness.run(4_000)
-    harness.cell.registry.expire(harness.now)
+    harness.cell.registry.expire_leases(harness.now)
     assert not harness.cell.context.workers["w0"].runs
     assert harness.now - taken_over_ms < 10_000
 
@@ -88,7 +88,7 @@
 def test_an_end_before_a_takeover_is_not_run_again(harness):
     harness.submit(JOB, job_spec({"count": 2, "cpu_milli": 500}))
     harness.run(600)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(600)  # the tasks end while no owner looks
     harness.take_over()
     harness.run(1_000)
@@ -135,7 +135,7 @@
         if rng.random() < 0.08:
             worker.is_unreachable = not worker.is_unreachable
         if rng.random() < 0.05:
-            harness.dead = True
+            harness.is_owner_down = True
             harness.run(rng.choice([20, 300, 1_200]))
             harness.take_over()
         for _ in range(10):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
@@ -223,7 +223,7 @@
     harness.is_command_lost = only_first(StartRun, 3, True)
     harness.submit(JOB, gang(6, estimated_ms=300_000))
     harness.run(after_ms)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(300)
     harness.take_over()
     assert_whole_again(harness)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
@@ -15,7 +15,7 @@
 from thymefork_cells.estimates import LearnedSpeed
 
 from .harness import job_spec
-from .mixed_speed_site import FAST, MixedSpeedSite
+from .heterogeneous_site import FAST, HeterogeneousSite
 
 SEEDS = (1, 2, 3, 4)
 SMALL_GAP_MS = 133.0
@@ -25,7 +25,7 @@
 SETTLE_MS = 15_000.0
 
 
-class WatchedSite(MixedSpeedSite):
+class WatchedSite(HeterogeneousSite):
     """Note of each start whether a fast worker had room, and which worker it got."""
 
     def __init__(self, **fields):
@@ -103,7 +103,7 @@
     """Where all are alike, each task goes where it would go if nothing was learned."""
     starts = []
     for learns in (True, False):
-        site = MixedSpeedSite(seed=5, slownesses=(1.0,))
+        site = HeterogeneousSite(seed=5, slownesses=(1.0,))
         if not learns:
             never_learn(site)
         site.load(LOAD_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
@@ -121,9 +121,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_slow_sound_workers_are_not_sick(seed):
     """What is moved from them has a long tail, and does not just take its time."""
-    site = MixedSpeedSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     mixed(site)
-    unaware = MixedSpeedSite(seed=seed)
+    unaware = HeterogeneousSite(seed=seed)
     never_learn(unaware)
     mixed(unaware)
     assert 3 * moved_from_slow(site) < moved_from_slow(unaware)
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_workers_that_are_slow_for_a_while_are_paused_and_not_remembered_so(seed):
-    site = MixedSpeedSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     slowed = [name for name in site.workers if site.is_fast(name)][:4]
     followed = [site.cell.context.workers[name] for name in slowed]
@@ -165,7 +165,7 @@
     assert len(fast & site.announced_speeds.keys()) >= 6
     if not is_told:
         site.announced_speeds.clear()
-    site.dead = True
+    site.is_owner_down = True
     site.run(500)
     site.take_over()
     assert site.cell.speeds.is_heterogeneous is is_told
@@ -180,7 +180,7 @@
 
 
 def test_a_cell_takes_its_turns_when_all_workers_are_gone():
-    site = MixedSpeedSite(seed=7)
+    site = HeterogeneousSite(seed=7)
     site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     assert site.cell.speeds.is_heterogeneous
     site.run(30_000.0)
@@ -201,7 +201,7 @@
 
 
 def test_a_worker_that_starts_again_under_its_id_keeps_its_speed():
-    site = MixedSpeedSite(seed=8)
+    site = HeterogeneousSite(seed=8)
     site.load(8_000.0, small=SMALL_GAP_MS)
     name = next(name for name in site.workers if site.is_fast(name))
     before = site.cell.context.workers[name].slowness
@@ -218,7 +218,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_machine_that_is_far_slower_for_good_attracts_no_work(seed):
     """As it was told by an owner before; others have room at this load."""
-    site = MixedSpeedSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     sick = next(name for name in site.workers if not site.is_fast(name))
     machine = f"m-{sick}"
@@ -226,7 +226,7 @@
     site.announced_speeds[machine] = LearnedSpeed(
         machine=machine, log_slowness=log(15.0)
     )
-    site.dead = True
+    site.is_owner_down = True
     site.run(500)
     site.take_over()
     site.run(1_500)
@@ -241,7 +241,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_gang_with_a_tight_objective_takes_fast_members_alone(seed):
     """It ends with its slowest member."""
-    site = MixedSpeedSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(10_000.0)
     step = {
@@ -261,7 +261,7 @@
 
 def test_members_of_a_gang_are_judged_alike_in_whatever_order_they_end():
     """All end with the slowest, so the time of each is the slowest one's."""
-    site = MixedSpeedSite(seed=1)
+    site = HeterogeneousSite(seed=1)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(10_000.0)
     step = {
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_incarnations.py
@@ -55,9 +55,9 @@
     alone.submit(JOB, job_spec({"count": 1, "cpu_milli": 1_000}))
     alone.run(200)
     worker = followed(alone)
-    misses = worker.misses_in_row
+    misses = worker.unanswered_in_row
     hear(alone, listing(born_epoch_ms, clock_ms=10**9))
-    assert followed(alone) is worker and worker.misses_in_row == misses + 1
+    assert followed(alone) is worker and worker.unanswered_in_row == misses + 1
     alone.run(3_000)
     assert alone.job(JOB).visible_state is JobState.SUCCEEDED
     assert len(alone.starts_of(f"{JOB}.0.0.0")) == 1
@@ -69,7 +69,7 @@
     hear(alone, listing(FIRST_BORN_MS, clock_ms=10**9), worker=old)
     alone.cell.poller.on_poll_unanswered(old, quick=False, now_ms=alone.now)
     assert followed(alone).born_epoch_ms == FIRST_BORN_MS + 1
-    assert not old.misses_in_row
+    assert not old.unanswered_in_row
 
 
 def test_a_worker_whose_time_was_set_back_is_followed_once_nothing_runs(alone):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
@@ -151,10 +151,10 @@
     gang = {"count": 2, "cpu_milli": 8_000, "gang": True, "estimated_ms": 400}
     harness.submit(LEAVES, job_spec(gang))
     harness.run(2_600)
-    assert harness.cell.placer._reservations._kept
+    assert harness.cell.placer._reservations._by_step
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(6)
-    assert not harness.cell.placer._reservations._kept
+    assert not harness.cell.placer._reservations._by_step
 
 
 def test_live_work_does_not_make_way_beside_room_that_comes_free(make_harness):
@@ -257,7 +257,7 @@
     start_batch(harness, LEAVES)
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(7)  # the stops have left, the append is under way
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(20)
     assert "cancel" not in harness.replies
     harness.take_over()
@@ -282,7 +282,7 @@
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(80 + dies_after_ms)
     assert harness.replies["cancel"].outcome is Outcome.CANCELLED
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(30)
     harness.take_over()
     harness.run(2_000)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts.py
@@ -43,14 +43,14 @@
     group.run(SOON_MS)
     assert group.cpu_running() >= 0.8 * LIMIT_CPU_MILLI
     group.run(2_000)
-    assert group.most_cpu_milli <= LIMIT_CPU_MILLI and not group.violations
+    assert group.max_cpu_milli <= LIMIT_CPU_MILLI and not group.violations
 
 
 def test_a_gang_as_wide_as_the_limit_starts_whole_in_any_cell(group):
     gang = {"cpu_milli": 5_000, "count": 10, "gang": True, "estimated_ms": 400}
     submit(group, 3, 1, gang)
     group.run(400)
-    assert group.most_cpu_milli == LIMIT_CPU_MILLI and not group.violations
+    assert group.max_cpu_milli == LIMIT_CPU_MILLI and not group.violations
 
 
 def test_idle_parts_come_back_by_themselves(group):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts_under_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts_under_faults.py
@@ -191,7 +191,7 @@
     while group.now < until_ms:
         cell = 0 if rng.random() < 0.6 else rng.randrange(cells)
         harness = group.cells[cell]
-        if not harness.dead:
+        if not harness.is_owner_down:
             number += 1
             harness.submit(f"{number:016x}", random_job(rng), account_name="a")
         if rng.random() < 0.15:
@@ -203,7 +203,7 @@
 def _disturb(group, rng, kinds):
     kind = rng.choice(kinds)
     cell = rng.randrange(len(group.cells))
-    if kind == "kill" and not group.cells[cell].dead:
+    if kind == "kill" and not group.cells[cell].is_owner_down:
         group.kill(cell, for_ms=rng.randint(50, 800))
     elif kind == "cut":
         until_ms = group.now + rng.randint(100, 2_000)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_measured_work.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_measured_work.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from .mixed_speed_site import SLOW, MixedSpeedSite
+from .heterogeneous_site import SLOW, HeterogeneousSite
 
 
 def ended_line(site, job_id):
@@ -12,7 +12,7 @@
 
 
 def play(slownesses, *, seed=3):
-    site = MixedSpeedSite(seed=seed, slownesses=slownesses)
+    site = HeterogeneousSite(seed=seed, slownesses=slownesses)
     site.load(8_000.0, small=133.0, batch=700.0)
     sent = site.load(12_000.0, small=133.0, batch=700.0)
     site.run(15_000.0)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
@@ -70,7 +70,7 @@
     """Do one of the things that go wrong beside tasks that crash their workers."""
     kind = rng.choice(("owner", "crash", "cut", "heal", "mute", "nothing"))
     if kind == "owner":
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run(300)
         harness.take_over()
     elif kind == "crash" and len(harness.crashes) < MAX_LOSSES:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
@@ -71,7 +71,7 @@
 
 def replace_owner(harness):
     """Let the store come back as another instance takes the cell over."""
-    harness.dead = True
+    harness.is_owner_down = True
     harness.store_down = False
     harness.take_over()
 
@@ -105,7 +105,7 @@
     """A roll stops one owner after the other; the second stores nothing either."""
     harness = make_harness(workers=6)
     run_into_outage(harness)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.take_over()
     begin_outage(harness)
     harness.run(500)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_store_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_store_outages.py
@@ -16,7 +16,7 @@
         worker.work_ms = 60_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 8_000}))
     harness.run(300)
-    harness.dead = True
+    harness.is_owner_down = True
     for worker_id in ("w0", "w1", "w2"):
         harness.workers[worker_id].is_unreachable = True
     harness.run(500)
@@ -42,7 +42,7 @@
         worker.work_ms = 60_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 8_000}))
     harness.run(300)
-    harness.dead = True
+    harness.is_owner_down = True
     for worker_id in ("w0", "w1", "w2"):
         harness.workers[worker_id].is_unreachable = True
     harness.run(500)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_stored_incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_stored_incarnations.py
@@ -57,7 +57,7 @@
         worker.work_ms = 3_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 1_000}))
     harness.run(500)
-    harness.dead = True
+    harness.is_owner_down = True
     worker = max(harness.workers.values(), key=lambda one: len(one.running))
     harness.restart(worker, away_ms=50.0)
     harness.run(300)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_unknown_speeds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_unknown_speeds.py
@@ -19,7 +19,7 @@
     site = WatchedSite(seed=seed)
     site.load(SEARCH_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.announced_speeds.clear()
-    site.dead = True
+    site.is_owner_down = True
     site.run(500)
     site.take_over()
     site.run(1_500)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_worker_restarts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_worker_restarts.py
@@ -246,7 +246,7 @@
 
 def _disturb(harness, rng, kind):
     if kind in ("new owners", "all") and rng.random() < 0.1:
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run(300)
         harness.take_over()
     if kind in ("cuts", "all") and rng.random() < 0.15 and len(_up(harness)) > 8:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
@@ -76,7 +76,7 @@
     def clock(self, now_ms):
         return round(now_ms + self.clock_offset_ms)
 
-    def end_life(self, now_ms):
+    def end_incarnation(self, now_ms):
         """Lose all that the worker holds and knows; it is out of reach."""
         self.advance(now_ms)
         for run in self.running.values():
@@ -84,7 +84,7 @@
         self.running.clear()
         self.is_unreachable = True
 
-    def begin_life(self, now_ms):
+    def begin_incarnation(self, now_ms):
         """Begin anew under the same id, with all counts."""
         self.is_unreachable = False
         self.born_epoch_ms = max(self.born_epoch_ms + 1, int(START_EPOCH_MS + now_ms))
--- a/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
@@ -111,7 +111,7 @@
             return "worker_silent"
         return ""
 
-    def on_start(self, run, answer, *, now_ms):
+    def on_start_answer(self, run, answer, *, now_ms):
         """Apply the answer to a start."""
         if run.state is RunState.GONE:
             self._on_late_answer(run, answer, now_ms)
@@ -171,7 +171,7 @@
         )
         self._lifecycle.release(run, now_ms=now_ms)
 
-    def on_stop(self, run, answer, *, now_ms):
+    def on_stop_answer(self, run, answer, *, now_ms):
         """Apply the answer to a stop."""
         if run.state is RunState.GONE:
             return
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
@@ -132,7 +132,7 @@
 
     def _look_quickly(self, worker, now_ms):
         """Look beside the look in flight where something has to be known at once."""
-        if worker.is_quick_polling or worker.misses_in_row:
+        if worker.is_quick_polling or worker.unanswered_in_row:
             return
         doubted = worker.suspected_ms > worker.last_answer_ms
         if doubted or self._settles_beside(worker, now_ms):
@@ -160,7 +160,7 @@
         waits = worker.runs and worker.has_reported and not worker.orphaned_runs
         waits = waits and not worker.stopped and not worker.storing_ends
         waits = waits and worker.suspected_ms <= worker.last_answer_ms
-        waits = waits and not worker.misses_in_row
+        waits = waits and not worker.unanswered_in_row
         renews = self._renews(worker)
         worker.is_polling = True
         worker.poll_sent_ms = now_ms
@@ -179,7 +179,7 @@
         Nothing is renewed for runs that only have to stop: whatever keeps their stop
         from being carried out, they end with the lease, within 3 s.
         """
-        if worker.clock_offset_ms is None or worker.misses_in_row:
+        if worker.clock_offset_ms is None or worker.unanswered_in_row:
             return False
         return any(run.may_continue for run in worker.runs.values())
 
@@ -204,12 +204,12 @@
             self.suspect_hall(worker, now_ms)
             return
         worker.is_polling = False
-        worker.misses_in_row += 1
+        worker.unanswered_in_row += 1
         worker.unanswered_since_ms = worker.unanswered_since_ms or now_ms
-        again_ms = min(LOOK_AGAIN_MOST_MS, LOOK_AGAIN_MS * worker.misses_in_row)
+        again_ms = min(LOOK_AGAIN_MOST_MS, LOOK_AGAIN_MS * worker.unanswered_in_row)
         worker.poll_due_ms = now_ms + again_ms
         self.suspect_hall(worker, now_ms)
-        if worker.misses_in_row == MAX_UNANSWERED_POLLS:
+        if worker.unanswered_in_row == MAX_UNANSWERED_POLLS:
             self._context.note(
                 "worker_silent",
                 worker=worker.worker_id,
@@ -220,7 +220,7 @@
     def on_report(self, worker, report, last_end, *, quick=False, now_ms):
         """Apply what a worker lists."""
         self._changed[worker] = None
-        if worker.misses_in_row >= MAX_UNANSWERED_POLLS:
+        if worker.unanswered_in_row >= MAX_UNANSWERED_POLLS:
             self._context.note("worker_answers", worker=worker.worker_id)
         self._losses.on_answer(worker, now_ms=now_ms)
         if quick:
@@ -230,7 +230,7 @@
             worker.is_polling = False
             answered_poll_ms = worker.poll_sent_ms
         worker.answered_poll_ms = max(worker.answered_poll_ms, answered_poll_ms)
-        worker.misses_in_row = 0
+        worker.unanswered_in_row = 0
         worker.unanswered_since_ms = 0.0
         worker.last_answer_ms = now_ms
         worker.acknowledged_end = max(worker.acknowledged_end, last_end)
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -88,7 +88,7 @@
         if verdict is IncarnationMatch.EARLIER:
             return  # the worker has started again, and its entry is still to come
         if verdict is IncarnationMatch.NEXT:
-            worker = self._lives.begin(
+            worker = self._lives.start_next(
                 worker, entry=entry, born_epoch_ms=entry.born_epoch_ms, now_ms=now_ms
             )
         self._note_room(worker, entry)
@@ -150,11 +150,12 @@
             self._context.workers.pop(worker.worker_id, None)
         worker.is_listed = False
 
-    def expire(self, now_ms):
+    def expire_leases(self, now_ms):
         """Release the runs whose leases are over on workers that do not answer."""
         for worker in list(self._context.workers.values()):
             silent = (
-                worker.misses_in_row >= MAX_UNANSWERED_POLLS or not worker.entry.host
+                worker.unanswered_in_row >= MAX_UNANSWERED_POLLS
+                or not worker.entry.host
             )
             if worker.runs and silent and now_ms > worker.runs_until_ms:
                 self._expire_runs(worker, now_ms)
--- a/packages/thymefork-daemon/src/thymefork_daemon/capacity/member_status.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/capacity/member_status.py
@@ -28,7 +28,7 @@
     can_own: bool
     owned: frozenset[int]
     join_ms: float
-    heard_ms: float
+    received_ms: float
     healthy_since_ms: float | None
 
     @property
@@ -38,7 +38,7 @@
 
     def is_fresh(self, now_ms):
         """Tell whether it was said a moment ago."""
-        return now_ms - self.heard_ms < FRESH_MS
+        return now_ms - self.received_ms < FRESH_MS
 
     def is_healthy_for(self, duration_ms, now_ms):
         """Tell whether the peer has been able to own for a while, and is now."""
--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -105,22 +105,22 @@
     def _build_clients(self):
         settings = self.settings
         self.store = StoreClient(
-            pool=self._pool(8, distrusts_idle=True),
+            pool=self._pool(8, closes_idle_on_timeout=True),
             address=settings.store.address,
         )
         self.workers = WorkerClient(
-            order_pool=self._pool(3),
-            look_pool=self._pool(2),
+            command_pool=self._pool(3),
+            poll_pool=self._pool(2),
             on_unreadable=lambda kind: self.metrics.count("odd_answers", kind),
         )
         self.advice = AdviceClient(pool=self._pool(2), address=settings.advice)
 
-    def _pool(self, most_per_address, *, distrusts_idle=False):
+    def _pool(self, max_per_address, *, closes_idle_on_timeout=False):
         return HttpPool(
             sockets=self.sockets,
             timers=self.timers,
-            most_per_address=most_per_address,
-            distrusts_idle=distrusts_idle,
+            max_per_address=max_per_address,
+            closes_idle_on_timeout=closes_idle_on_timeout,
         )
 
     def _build_watches(self):
@@ -205,7 +205,7 @@
         line = logger.bind(event="started", life=self._life)
         line = line.bind(tier=self.capacity.tier.name, lacks=self.capacity.lacks)
         line.info("instance started")
-        if self.settings.orders_by_heartbeat:
+        if self.settings.commands_by_heartbeat:
             line = logger.bind(event="not_supported", setting="orders")
             line.error("workers accept no calls with this setting; no task can run")
         self._configuration_watch.start()
@@ -225,7 +225,7 @@
         line.bind(trace="".join(trace)).error("{}: {}", kind.__name__, error)
 
     def _run_housekeeping(self):
-        self.links.drop_silent(LINK_SILENCE_MS)
+        self.links.close_unresponsive(LINK_SILENCE_MS)
         self.readiness.check()
         self._settings_watch.check_signal()
         if self._shutdown.is_complete():
--- a/packages/thymefork-daemon/src/thymefork_daemon/handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/handover.py
@@ -22,7 +22,7 @@
     def __init__(self, *, daemon, tier, address):
         self._daemon = daemon
         self._departure = Departure(daemon=daemon)
-        self._rule = HandoverPolicy(tier=tier, address=str(address))
+        self._policy = HandoverPolicy(tier=tier, address=str(address))
         self._reason = None
         self._started_ms = 0.0
         daemon.timers.every(CHECK_INTERVAL_MS, self._check)
@@ -30,11 +30,11 @@
     @property
     def cooldown_until_ms(self):
         """Return until when this instance better stays out of the group."""
-        return self._rule.cooldown_until_ms
+        return self._policy.cooldown_until_ms
 
     def best_tier(self):
         """Return the best tier among members that are well, as far as was heard."""
-        return self._rule.best_tier(steady_ms(), self._statuses())
+        return self._policy.best_tier(steady_ms(), self._statuses())
 
     def _statuses(self):
         return self._daemon.peers.member_statuses.statuses
@@ -48,7 +48,7 @@
         self._record_known_tiers()
         if not self._daemon.membership.in_group:
             return
-        reason = self._rule.reason(
+        reason = self._policy.reason(
             steady_ms(), local=self._local_status(), statuses=self._statuses()
         )
         if reason is not None and not self.is_in_progress:
@@ -79,11 +79,11 @@
         daemon = self._daemon
         if daemon.is_stopping or not daemon.membership.is_stable:
             return False
-        if self._store_is_slow():
+        if self._is_store_slow():
             return False
         return not any(owner.is_store_unavailable for owner in daemon.owners.values())
 
-    def _store_is_slow(self):
+    def _is_store_slow(self):
         """Tell whether the store is slow for all, not for this instance alone.
 
         A takeover reads the whole cell, which takes long then.
@@ -124,7 +124,7 @@
             self._leave()
 
     def _is_still_valid(self):
-        return self._rule.is_still_valid(
+        return self._policy.is_still_valid(
             self._reason,
             steady_ms(),
             local=self._local_status(),
@@ -133,18 +133,18 @@
 
     def _cancel(self):
         self._daemon.metrics.count("owner_handovers_given_up", self._reason)
-        why = "nobody is better placed any more"
+        message = "nobody is better placed any more"
         if not self._may_hand_over():
-            why = "the store went away, or this stops"
-        self._event_logger("handover_given_up").info("{}", why)
+            message = "the store went away, or this stops"
+        self._event_logger("handover_given_up").info("{}", message)
         self._reason = None
 
     def _must_wait(self):
-        spent_ms = steady_ms() - self._started_ms
-        if spent_ms < MAX_STORE_WAIT_MS and self._departure.has_unstored_records:
+        elapsed_ms = steady_ms() - self._started_ms
+        if elapsed_ms < MAX_STORE_WAIT_MS and self._departure.has_unstored_records:
             return True
         has_pending_join = self._daemon.membership.has_pending_join
-        return has_pending_join and spent_ms < MAX_STORE_WAIT_MS + MAX_JOIN_WAIT_MS
+        return has_pending_join and elapsed_ms < MAX_STORE_WAIT_MS + MAX_JOIN_WAIT_MS
 
     def _leave(self):
         reason, daemon = self._reason, self._daemon
@@ -154,6 +154,6 @@
         else:
             self._event_logger("stands_by_again").info("{}", reason)
         self._reason = None
-        self._rule.on_left(steady_ms())
+        self._policy.on_left(steady_ms())
         daemon.standby.on_left()
         self._departure.leave(f"handed over: {reason}", permanent=False)
--- a/packages/thymefork-daemon/src/thymefork_daemon/join_deferral.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/join_deferral.py
@@ -41,21 +41,24 @@
         """
         now_ms = steady_ms()
         self._first_check_ms = self._first_check_ms or now_ms
-        back_ms = self._daemon.store_readable_since_ms
-        if back_ms is None:
+        available_since_ms = self._daemon.store_readable_since_ms
+        if available_since_ms is None:
             return True
-        was_away = back_ms - self._first_check_ms > STORE_OUTAGE_MIN_MS
-        return was_away and now_ms - back_ms <= OWNER_JOIN_TIMEOUT_MS
+        had_outage = available_since_ms - self._first_check_ms > STORE_OUTAGE_MIN_MS
+        return had_outage and now_ms - available_since_ms <= OWNER_JOIN_TIMEOUT_MS
 
     def _must_wait_as_member(self):
         daemon = self._daemon
-        if not daemon.layout.cells or self._store_is_back():
+        if not daemon.layout.cells or self._has_store_recovered():
             return False
         if not daemon.readiness.hears_all_owners:
             return False
         owners = map(daemon.directory.owner_of, range(daemon.layout.cells))
         return not all(daemon.peers.has_store(owner) for owner in owners)
 
-    def _store_is_back(self):
-        back_ms = self._daemon.store_readable_since_ms
-        return back_ms is not None and steady_ms() - back_ms > OWNER_JOIN_TIMEOUT_MS
+    def _has_store_recovered(self):
+        available_since_ms = self._daemon.store_readable_since_ms
+        return (
+            available_since_ms is not None
+            and steady_ms() - available_since_ms > OWNER_JOIN_TIMEOUT_MS
+        )
--- a/packages/thymefork-daemon/src/thymefork_daemon/learned_speeds.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/learned_speeds.py
@@ -36,7 +36,7 @@
 
     def announce(self, cell, epoch, speeds):
         """Keep what an owner here has learned; the next heartbeat tells it."""
-        self._keep(cell, speeds)
+        self._add(cell, speeds)
         self._unannounced.append(_to_message(cell, epoch, speeds))
         self._daemon.metrics.count("speeds", "told", len(speeds))
 
@@ -51,7 +51,7 @@
     def of_owned_cells(self):
         """Return what is known of the cells owned here, for a member that has come."""
         messages = [
-            _to_message(cell, owner.epoch, self.of(cell))
+            _to_message(cell, owner.epoch, self.of_cell(cell))
             for cell, owner in self._daemon.owners.items()
         ]
         return [message for message in messages if message.speeds] or None
@@ -68,22 +68,22 @@
             )
             for row in message.speeds
         ]
-        self._keep(message.cell, speeds)
+        self._add(message.cell, speeds)
 
-    def of(self, cell):
+    def of_cell(self, cell):
         """Return what is kept of a cell's machines."""
         now_ms = steady_ms()
-        kept = self._entries_by_cell.get(cell, {}).values()
-        return [row.speed for row in kept if row.expires_ms > now_ms]
+        entries = self._entries_by_cell.get(cell, {}).values()
+        return [row.speed for row in entries if row.expires_ms > now_ms]
 
-    def _keep(self, cell, speeds):
-        kept = self._entries_by_cell.setdefault(cell, {})
+    def _add(self, cell, speeds):
+        entries = self._entries_by_cell.setdefault(cell, {})
         expires_ms = steady_ms() + RETENTION_MS
         for speed in speeds:
-            kept.pop(speed.machine, None)
-            kept[speed.machine] = _SpeedEntry(speed=speed, expires_ms=expires_ms)
-        while len(kept) > MAX_SPEEDS_PER_CELL:
-            del kept[next(iter(kept))]
+            entries.pop(speed.machine, None)
+            entries[speed.machine] = _SpeedEntry(speed=speed, expires_ms=expires_ms)
+        while len(entries) > MAX_SPEEDS_PER_CELL:
+            del entries[next(iter(entries))]
 
 
 def _to_message(cell, epoch, speeds):
--- a/packages/thymefork-daemon/src/thymefork_daemon/member_statuses.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/member_statuses.py
@@ -37,7 +37,7 @@
             can_own=can_own,
             owned=frozenset(owned.cell for owned in message.owned),
             join_ms=float(message.join_ms or 0) if can_own else 0.0,
-            heard_ms=now_ms,
+            received_ms=now_ms,
             healthy_since_ms=_healthy_since(before, now_ms) if can_own else None,
         )
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -2,7 +2,7 @@
 
 from loguru import logger
 
-from thymefork_net import AnswerPace
+from thymefork_net import AdaptiveTimeout
 
 __all__ = ["AppendWindow"]
 
@@ -45,11 +45,11 @@
     def __init__(self, *, cell, metrics):
         self._cell = cell
         self._metrics = metrics
-        self._pace = AnswerPace(
-            first_ms=INITIAL_APPEND_MS,
+        self._hedge_timeout = AdaptiveTimeout(
+            initial_ms=INITIAL_APPEND_MS,
             factor=HEDGE_FACTOR,
-            shortest_ms=MIN_HEDGE_DELAY_MS,
-            longest_ms=MAX_HEDGE_DELAY_MS,
+            min_ms=MIN_HEDGE_DELAY_MS,
+            max_ms=MAX_HEDGE_DELAY_MS,
         )
         self._is_slow = False
         self._baseline_ms = 0.0
@@ -61,7 +61,7 @@
     @property
     def patience_ms(self):
         """Return how long to wait before an append is sent once more."""
-        return self._pace.patience_ms
+        return self._hedge_timeout.patience_ms
 
     @staticmethod
     def next_hedge_delay_ms(patience_ms):
@@ -93,17 +93,17 @@
             line.info("the store is slow: appends are sent beside others")
         self._overlapping_count += 1
 
-    def record_answer(self, took_ms, *, repeats):
+    def record_answer(self, took_ms, *, is_repeat):
         """Follow the store's time; log once when it becomes slow or quick again.
 
-        A call that `repeats` another may be answered for it, and so too soon.
+        A call that `is_repeat` another may be answered for it, and so too soon.
         """
-        self._pace.answered(took_ms)
+        self._hedge_timeout.record_answer_time(took_ms)
         was_slow = self._is_slow
         self._is_slow = took_ms > (FAST_THRESHOLD_MS if was_slow else SLOW_THRESHOLD_MS)
         if self._is_slow != was_slow:
             self._on_speed_change(took_ms)
-        if self._is_slow and not repeats:
+        if self._is_slow and not is_repeat:
             self._adapt_target(took_ms)
 
     def _on_speed_change(self, took_ms):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -215,7 +215,7 @@
         cell.registry.update(self._daemon.worker_list.entries.values(), now_ms=now_ms)
         heard = self._daemon.heard_end_buffer.ends_before(self.cell_index, self.epoch)
         cell.inherited_ends.apply(heard, now_ms=now_ms)
-        speeds = self._daemon.learned_speeds.of(self.cell_index)
+        speeds = self._daemon.learned_speeds.of_cell(self.cell_index)
         cell.speed_learner.inherit(speeds, now_ms=now_ms)
         self._daemon.metrics.count("ownership", "gained")
         self._daemon.metrics.observe("takeover", now_ms - self._started_ms)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
@@ -47,7 +47,7 @@
             return
         now_ms = steady_ms()
         self._owner.metrics.observe("start", now_ms - sent_ms)
-        self._cell.on_start(run, answer, now_ms=now_ms)
+        self._cell.on_start_answer(run, answer, now_ms=now_ms)
         self._owner.apply_effects()
 
     def _still_owned(self, refusal, worker):
@@ -80,7 +80,7 @@
             answer.refusal, worker
         ):
             return
-        self._cell.on_stop(run, answer, now_ms=steady_ms())
+        self._cell.on_stop_answer(run, answer, now_ms=steady_ms())
         self._owner.apply_effects()
 
     @send.register
@@ -98,17 +98,17 @@
         if not self._still_owned(answer.refusal, worker):
             return
         now_ms = steady_ms()
-        self._cell.on_pace(effect.run, effect.percent, answer, now_ms=now_ms)
+        self._cell.on_pace_answer(effect.run, effect.percent, answer, now_ms=now_ms)
         self._owner.apply_effects()
 
     @send.register
-    def _look(self, effect: fx.PollWorker):
+    def _poll(self, effect: fx.PollWorker):
         worker, now_ms = effect.worker, steady_ms()
         deadline_ms = 0.0
         if effect.lease_ms and self._owner.may_renew_leases():
             deadline_ms = worker.clock_ms(now_ms) + effect.lease_ms
             self._cell.poller.record_lease(worker, effect.lease_ms, now_ms=now_ms)
-        self._client.look(
+        self._client.poll(
             worker=worker,
             wait_ms=effect.wait_ms,
             deadline_clock_ms=deadline_ms,
@@ -117,10 +117,10 @@
             wanted=self._owner.may_renew_leases
             if deadline_ms
             else self._owner.may_poll,
-            done=lambda result: self._on_look(worker, effect, result),
+            done=lambda result: self._on_poll(worker, effect, result),
         )
 
-    def _on_look(self, worker, effect, result):
+    def _on_poll(self, worker, effect, result):
         if not self._still_owned(result.refusal, worker):
             return
         now_ms = steady_ms()
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/scheduling_loop.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/scheduling_loop.py
@@ -49,7 +49,7 @@
         self._pipeline = pipeline
         self._executor = executor
         self._timers = timers
-        self._workers_known_ms = worker_list_as_of_ms
+        self._worker_list_as_of_ms = worker_list_as_of_ms
         self._advice_slots = advice_slots
         self._load_monitor = load_monitor
         self._ended = False
@@ -71,7 +71,7 @@
         """
         if self._ended:
             return
-        self._perform_effects()
+        self._execute_effects()
         self._schedule(min(self._cycle_due_ms, steady_ms() + CYCLE_DELAY_MS))
 
     def run_cycle(self):
@@ -97,19 +97,19 @@
 
     def _decide(self, now_ms):
         self._cell.context.is_store_unavailable = not self._ownership.is_renewed()
-        self._cell.context.worker_list_as_of_ms = self._workers_known_ms()
+        self._cell.context.worker_list_as_of_ms = self._worker_list_as_of_ms()
         self._cell.context.advice_slots = self._advice_slots()
         if self._load_monitor is not None:
             sheds = self._load_monitor.load_shedder.sheds
             self._cell.context.defers_idle_polls = sheds(SheddableWork.IDLE_LOOKS)
             self._cell.context.defers_early_advice = sheds(SheddableWork.EARLY_ADVICE)
         due_ms = self._cell.run_cycle(now_ms)
-        self._perform_effects()
+        self._execute_effects()
         if self._may_linger(now_ms):
             return min(due_ms, self._linger_since_ms + LINGER_MS)
         return min(due_ms, self._store(now_ms))
 
-    def _perform_effects(self):
+    def _execute_effects(self):
         self._executor.execute(self._cell.take_effects())
 
     def _schedule(self, due_ms):
@@ -157,7 +157,7 @@
 
     def _on_not_stored(self, batch):
         self._cell.on_not_stored(batch, now_ms=steady_ms())
-        self._perform_effects()
+        self._execute_effects()
         if not self._store_retry_timer:
             self._store_retry_timer = self._timers.after(
                 STORE_RETRY_DELAY_MS, self._retry_store
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_load_monitor.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_load_monitor.py
@@ -38,9 +38,9 @@
 
     def _join_ms(self):
         """Return how long a join takes where nothing but the store is slow."""
-        others_ms = self._daemon.peers.member_statuses.join_ms()
-        own_ms = self._daemon.membership.round_trip_ms
-        return own_ms if others_ms is None else min(own_ms, others_ms)
+        peers_ms = self._daemon.peers.member_statuses.join_ms()
+        local_ms = self._daemon.membership.round_trip_ms
+        return local_ms if peers_ms is None else min(local_ms, peers_ms)
 
     def _log_shed_kinds(self):
         kinds = self.load_shedder.kinds
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
@@ -60,7 +60,7 @@
             address = daemon.directory.owner_of(cell)
             if address is None or address == daemon.settings.peer:
                 continue
-            if daemon.links.is_silent(address, OWNER_TIMEOUT_MS):
+            if daemon.links.is_unresponsive(address, OWNER_TIMEOUT_MS):
                 self._evict(address, "silent")
 
     def _evict(self, address, reason):
@@ -90,4 +90,6 @@
             return membership.in_group and not membership.store_lost
         if not membership.is_healthy:
             return False
-        return self._daemon.links.heard_share(OWNER_TIMEOUT_MS) >= MIN_HEARD_SHARE
+        return (
+            self._daemon.links.responsive_fraction(OWNER_TIMEOUT_MS) >= MIN_HEARD_SHARE
+        )
--- a/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
@@ -27,7 +27,7 @@
             or not daemon.layout.cells
         ):
             return False
-        if daemon.settings.orders_by_heartbeat:
+        if daemon.settings.commands_by_heartbeat:
             return False
         cells = range(daemon.layout.cells)
         if not self.hears_all_owners:
@@ -61,7 +61,7 @@
         address = self._daemon.directory.owner_of(cell)
         if address is None:
             return False
-        return self._daemon.links.hears(address, OWNER_TIMEOUT_MS)
+        return self._daemon.links.is_responsive(address, OWNER_TIMEOUT_MS)
 
     def _owner_has_store(self, cell):
         """Return whether a cell's owner reaches the store and can accept requests.
--- a/packages/thymefork-daemon/src/thymefork_daemon/request_attempts.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/request_attempts.py
@@ -45,7 +45,7 @@
         unsent = [
             row
             for row in self._open
-            if row.link is link and link.handed_bytes <= row.start_offset
+            if row.link is link and link.written_bytes <= row.start_offset
         ]
         self._open = [row for row in self._open if row not in unsent]
         return len(unsent)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
@@ -66,19 +66,19 @@
 
 def answer(writer, call, outcome, wanted=-1):
     """Answer a call; 0 is the one that showed the store to be slow."""
-    result = AppendResult(outcome=outcome, wanted_sequence=wanted)
+    result = AppendResult(outcome=outcome, expected_sequence=wanted)
     writer.store.appends[call]["on_result"](result)
 
 
-def calls_with_sequence(writer, number):
+def calls_with_sequence(writer, sequence):
     """Return which calls, in their order, were made under a number."""
     appends = enumerate(writer.store.appends)
-    return [index for index, call in appends if call["sequence"] == number]
+    return [index for index, call in appends if call["sequence"] == sequence]
 
 
 def test_each_of_several_has_the_number_after_the_one_before(writer):
-    numbers = [call["sequence"] for call in writer.store.appends]
-    assert list(dict.fromkeys(numbers)) == [1, 2, 3, 4]
+    sequences = [call["sequence"] for call in writer.store.appends]
+    assert list(dict.fromkeys(sequences)) == [1, 2, 3, 4]
 
 
 def test_what_is_answered_first_tells_of_those_before_it(writer):
@@ -92,9 +92,11 @@
 
 @pytest.mark.parametrize("lost", [2, 3, 4])
 def test_a_lost_answer_of_any_of_them_holds_up_none_for_good(writer, timers, lost):
-    for number in (2, 3, 4):
-        if number != lost:
-            answer(writer, calls_with_sequence(writer, number)[0], AppendOutcome.STORED)
+    for sequence in (2, 3, 4):
+        if sequence != lost:
+            answer(
+                writer, calls_with_sequence(writer, sequence)[0], AppendOutcome.STORED
+            )
     answer(writer, calls_with_sequence(writer, lost)[0], AppendOutcome.UNKNOWN)
     timers.run(100)
     if lost == 4:
@@ -220,9 +222,9 @@
     assert writer.stored == writer.sent
 
 
-@pytest.mark.parametrize("number", [2, 3, 4])
-def test_a_fence_ends_all_of_them(writer, timers, number):
-    answer(writer, calls_with_sequence(writer, number)[0], AppendOutcome.FENCED)
+@pytest.mark.parametrize("sequence", [2, 3, 4])
+def test_a_fence_ends_all_of_them(writer, timers, sequence):
+    answer(writer, calls_with_sequence(writer, sequence)[0], AppendOutcome.FENCED)
     assert writer.lost == ["fenced"]
     count = len(writer.store.appends)
     timers.run(3_000)
@@ -287,7 +289,7 @@
     def _is_failing(self):
         return self._timers.now_ms - self._started_ms < FAULTS_UNTIL_MS
 
-    def _draw(self, number):
+    def _draw(self, sequence):
         if not self._is_failing() or self._rng.random() > self._fault_probability:
             return ""
         return self._rng.choice(self._faults)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
@@ -35,7 +35,7 @@
 def owner():
     lost, refusals = [], []
     cell = SimpleNamespace(
-        on_stop=lambda run, answer, now_ms: refusals.append(answer.refusal)
+        on_stop_answer=lambda run, answer, now_ms: refusals.append(answer.refusal)
     )
     return SimpleNamespace(
         epoch=EPOCH,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
@@ -38,7 +38,7 @@
         return self.bytes_each * len(self.sent)
 
     @property
-    def handed_bytes(self):
+    def written_bytes(self):
         return self.sent_bytes - self.kept_bytes
 
     def send(self, message):
@@ -99,7 +99,7 @@
         layout=SimpleNamespace(cells=1),
         owners={},
         directory=FakeDirectory(),
-        links=SimpleNamespace(to=lambda address: links[address]),
+        links=SimpleNamespace(open_link=lambda address: links[address]),
         link=link,
         next_owner=links[NEXT_OWNER],
         timers=timers,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
@@ -19,7 +19,7 @@
 OWNERSHIP_REPORT_DELAY_MS = 1_000
 
 
-def status(address, *, cell=None, load_percent=0, heard_ms):
+def status(address, *, cell=None, load_percent=0, received_ms):
     return MemberStatus(
         address=address,
         tier=Tier.FULL,
@@ -29,7 +29,7 @@
         can_own=True,
         owned=frozenset() if cell is None else frozenset({cell}),
         join_ms=6.0,
-        heard_ms=heard_ms,
+        received_ms=received_ms,
         healthy_since_ms=0.0,
     )
 
@@ -48,24 +48,24 @@
 
 def leave_times(loads):
     """Return when each of two owners leaves; each hears the other's last beat."""
-    rules = [HandoverPolicy(tier=Tier.FULL, address=name) for name in "ab"]
+    policies = [HandoverPolicy(tier=Tier.FULL, address=name) for name in "ab"]
     left_ms = [None, None]
     for now_ms in range(0, 10_000, STEP_MS):
         heartbeat_ms = float(now_ms // 200 * 200)
-        for n, rule in enumerate(rules):
+        for n, policy in enumerate(policies):
             other = 1 - n
             other_left = left_ms[other] is not None and left_ms[other] < heartbeat_ms
             statuses = [
-                status("c", heard_ms=heartbeat_ms),  # its takeover goes on and on
+                status("c", received_ms=heartbeat_ms),  # its takeover goes on and on
                 status(
                     "ab"[other],
                     cell=None if other_left else other,
                     load_percent=0 if other_left else round(100 * loads[other]),
-                    heard_ms=heartbeat_ms,
+                    received_ms=heartbeat_ms,
                 ),
             ]
             local = local_status(n, value=loads[n])
-            if left_ms[n] is None and rule.reason(
+            if left_ms[n] is None and policy.reason(
                 float(now_ms), local=local, statuses=statuses
             ):
                 left_ms[n] = now_ms
@@ -82,9 +82,9 @@
 
 
 def eventual_reason(local, statuses_at):
-    rule = HandoverPolicy(tier=Tier.FULL, address="a")
+    policy = HandoverPolicy(tier=Tier.FULL, address="a")
     for now_ms in range(0, 10_000, STEP_MS):
-        reason = rule.reason(float(now_ms), local=local, statuses=statuses_at(now_ms))
+        reason = policy.reason(float(now_ms), local=local, statuses=statuses_at(now_ms))
         if reason is not None:
             return reason
     return None
@@ -92,7 +92,7 @@
 
 def test_nobody_leaves_while_another_cell_is_on_its_way():
     local = local_status(0, value=1.5)
-    assert eventual_reason(local, lambda now: [status("c", heard_ms=now)]) is None
+    assert eventual_reason(local, lambda now: [status("c", received_ms=now)]) is None
 
 
 def test_a_lone_overloaded_owner_leaves_for_who_owns_nothing():
@@ -101,8 +101,8 @@
         eventual_reason(
             local,
             lambda now: [
-                status("b", cell=1, load_percent=40, heard_ms=now),
-                status("c", heard_ms=now),
+                status("b", cell=1, load_percent=40, received_ms=now),
+                status("c", received_ms=now),
             ],
         )
         == "overload"
@@ -111,18 +111,18 @@
 
 def test_a_cell_taken_again_after_a_handover_is_held_for_a_while():
     """The rule was not asked meanwhile, so what it followed before does not hold."""
-    rule = HandoverPolicy(tier=Tier.FULL, address="a")
+    policy = HandoverPolicy(tier=Tier.FULL, address="a")
     local = local_status(0, value=1.5, cells=1)
     now_ms = 0.0
     while (
-        rule.reason(now_ms, local=local, statuses=[status("b", heard_ms=now_ms)])
+        policy.reason(now_ms, local=local, statuses=[status("b", received_ms=now_ms)])
         is None
     ):
         now_ms += STEP_MS
-    rule.on_left(now_ms)
-    regained_ms = now_ms = rule.cooldown_until_ms + STEP_MS
+    policy.on_left(now_ms)
+    regained_ms = now_ms = policy.cooldown_until_ms + STEP_MS
     while (
-        rule.reason(now_ms, local=local, statuses=[status("b", heard_ms=now_ms)])
+        policy.reason(now_ms, local=local, statuses=[status("b", received_ms=now_ms)])
         is None
     ):
         now_ms += STEP_MS
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
@@ -44,9 +44,9 @@
     remote = LearnedSpeeds(daemon=daemon)
     for message in roundtrip(local.take_unannounced()):
         remote.on_message(message)
-    assert remote.of(CELL) == local.of(CELL)
-    assert remote.of(CELL)[1].log_slowness == pytest.approx(-0.531)
-    assert remote.of(CELL + 1) == []
+    assert remote.of_cell(CELL) == local.of_cell(CELL)
+    assert remote.of_cell(CELL)[1].log_slowness == pytest.approx(-0.531)
+    assert remote.of_cell(CELL + 1) == []
 
 
 def test_news_is_told_once(now, daemon):
@@ -63,7 +63,7 @@
     remote._daemon.owners = {CELL: SimpleNamespace(epoch=4)}
     for message in local.take_unannounced():
         remote.on_message(message)
-    assert remote.of(CELL) == []
+    assert remote.of_cell(CELL) == []
 
 
 class SimulatedOwner:
@@ -108,14 +108,14 @@
 def test_an_heir_knows_speeds_that_have_not_changed_for_long(now, daemon, after_ms):
     receiver = LearnedSpeeds(daemon=daemon)
     SimulatedOwner(now).serve(after_ms, [receiver])
-    assert len(receiver.of(CELL)) == 12
+    assert len(receiver.of_cell(CELL)) == 12
 
 
 def test_a_member_that_comes_after_the_first_telling_hears_of_all(now, daemon):
     owner, receiver = SimulatedOwner(now), LearnedSpeeds(daemon=daemon)
     owner.serve(20_000.0, [])
     owner.serve(130_000.0, [receiver])
-    assert len(receiver.of(CELL)) == 12
+    assert len(receiver.of_cell(CELL)) == 12
 
 
 def test_a_member_that_comes_is_told_all_of_the_cells_owned_here(now, daemon):
@@ -135,21 +135,21 @@
     rows = [MachineSpeed(machine="m1", log_slowness_milli=announced_milli)]
     local = LearnedSpeeds(daemon=daemon)
     local.on_message(SpeedsLearned(cell=CELL, epoch=3, speeds=rows))
-    assert abs(local.of(CELL)[0].log_slowness) <= 3.0
+    assert abs(local.of_cell(CELL)[0].log_slowness) <= 3.0
 
 
 def test_what_is_old_is_forgotten(now, daemon):
     local = LearnedSpeeds(daemon=daemon)
     local.announce(CELL, 3, [speed("m1", 0.4)])
     now.ms += RETENTION_MS + 1.0
-    assert local.of(CELL) == []
+    assert local.of_cell(CELL) == []
 
 
 def test_told_speeds_that_are_kept_are_bounded(now, daemon, monkeypatch):
     monkeypatch.setattr(module, "MOST_KEPT", 3)
     local = LearnedSpeeds(daemon=daemon)
     local.announce(CELL, 3, [speed(f"m{number}", 0.4) for number in range(5)])
-    assert [row.machine for row in local.of(CELL)] == ["m2", "m3", "m4"]
+    assert [row.machine for row in local.of_cell(CELL)] == ["m2", "m3", "m4"]
 
 
 def test_a_heartbeat_without_news_is_as_before(now, daemon):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
@@ -28,8 +28,8 @@
             owner_of=lambda cell: OWNER, remove_dead=evicted.append
         ),
         links=SimpleNamespace(
-            is_silent=lambda address, ms: timers.now_ms - heard_ms[address] >= ms,
-            heard_share=lambda ms: daemon.heard_share_of_peers,
+            is_unresponsive=lambda address, ms: timers.now_ms - heard_ms[address] >= ms,
+            responsive_fraction=lambda ms: daemon.heard_share_of_peers,
         ),
         membership=SimpleNamespace(
             is_healthy=True,
@@ -208,7 +208,7 @@
         layout=SimpleNamespace(cells=0),
         settings=SimpleNamespace(peer=own),
         directory=SimpleNamespace(members={own, *others}),
-        links=SimpleNamespace(all=[], to=opened.add),
+        links=SimpleNamespace(all=[], open_link=opened.add),
         membership=SimpleNamespace(in_group=True, store_lost=False, round_trip_ms=6.0),
         metrics=FakeMetrics(),
         **capacity_attributes(),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
@@ -16,14 +16,16 @@
         configuration=object(),
         is_stopping=False,
         layout=SimpleNamespace(cells=1),
-        settings=SimpleNamespace(orders_by_heartbeat=False),
+        settings=SimpleNamespace(commands_by_heartbeat=False),
         owners={},
         directory=SimpleNamespace(owner_of=lambda cell: "address"),
-        links=SimpleNamespace(hears=lambda address, silence_ms: daemon.hears),
+        links=SimpleNamespace(
+            is_responsive=lambda address, silence_ms: daemon.is_responsive
+        ),
         peers=SimpleNamespace(has_store=lambda address: daemon.owner_has_store),
         owner_has_store=True,
         can_read_store=True,
-        hears=True,
+        is_responsive=True,
     )
     return daemon
 
@@ -35,19 +37,19 @@
 def test_instance_without_owners_and_store_is_disconnected(daemon, timers):
     """Guards against callers that return to a disconnected hall."""
     readiness = Readiness(daemon=daemon)
-    daemon.hears = daemon.can_read_store = False
+    daemon.is_responsive = daemon.can_read_store = False
     assert not readiness.check()
     timers.run(2_400)
     assert not readiness.is_disconnected
     timers.run(200)
     assert readiness.is_disconnected
-    daemon.hears = True
+    daemon.is_responsive = True
     assert readiness.check() and not readiness.is_disconnected
 
 
 def test_instance_that_reads_the_store_is_not_disconnected(daemon, timers):
     readiness = Readiness(daemon=daemon)
-    daemon.hears = False
+    daemon.is_responsive = False
     readiness.check()
     timers.run(5_000)
     assert not readiness.is_disconnected
