--- a/packages/thymefork-cells/src/thymefork_cells/placing/reservations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/reservations.py
@@ -47,9 +47,9 @@
     a worker may wait without end while most of the room is free.
     """
 
-    def __init__(self, *, context, images, forecast):
+    def __init__(self, *, context, durations, forecast):
         self._context = context
-        self._images = images
+        self._durations = durations
         self._forecast = forecast
         self._kept = {}
         self._by_worker = {}
@@ -78,7 +78,7 @@
             return True
         if step.spec.long_running:
             return False
-        expected_ms = self._images.expected_ms(step.spec, worker)
+        expected_ms = self._durations.expected_ms(step.spec, worker)
         ends_ms = now_ms + expected_ms + BACKFILL_MARGIN_MS
         return ends_ms < kept.free_at_ms[worker.worker_id]
 
@@ -119,7 +119,7 @@
         if step.spec.long_running or waited_ms <= LARGE_PATIENCE_MS:
             return False
         # Room kept idle for jobs that are late only makes others late.
-        return self._images.ends_in_time(step, now_ms)
+        return self._durations.ends_in_time(step, now_ms)
 
     def _keep(self, step, workers, was, now_ms):
         """Keep the workers on which the step's tasks would fit soonest."""
@@ -145,11 +145,11 @@
         Of a gang's, when all are.
         """
         free_at = []
-        usual_ms = self._images.expected_ms(step.spec)
+        usual_ms = self._durations.expected_ms(step.spec)
         for worker in workers:
             if self._may_be_kept(step, worker):
                 longer_ms = usual_ms * (worker.slowness - 1.0)
-                times = self._forecast.room_times(worker, step.spec, now_ms)
+                times = self._forecast.fit_times(worker, step.spec, now_ms)
                 free_at += [
                     (at_ms + longer_ms, at_ms, worker.worker_id) for at_ms in times
                 ]
--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -13,27 +13,27 @@
 from thymefork_net.http import HttpPool, HttpServer
 from thymefork_net.peers import Links
 
-from .capacity import OwningCapacity
+from .capacity import OwnerCapacity
 from .configuration_watch import ConfigurationWatch
-from .front import Front
+from .frontend import Frontend
 from .gateway import Gateway
 from .handover import Handover
-from .heard_ends import HeardEnds
+from .heard_end_buffer import HeardEndBuffer
+from .join_deferral import JoinDeferral
 from .layout import WORKERS_PER_CELL, Layout
 from .learned_speeds import LearnedSpeeds
+from .limit_part_router import LimitPartRouter
 from .membership import Membership
-from .operators_server import OperatorsServer
+from .operator_server import OperatorServer
 from .owned_cells import OwnedCells
 from .owner_directory import OwnerDirectory
-from .owner_first import OwnerFirst
-from .owner_load_watch import OwnerLoadWatch
-from .part_courier import PartCourier
-from .peer_desk import PeerDesk
+from .owner_load_monitor import OwnerLoadMonitor
+from .peer_dispatcher import PeerDispatcher
 from .readiness import Readiness
 from .settings_watch import SettingsWatch
 from .shutdown import Shutdown
 from .standby import Standby
-from .telling import Metrics
+from .telemetry import Metrics
 from .worker_list_watch import WorkerListWatch
 
 __all__ = ["Daemon"]
@@ -71,10 +71,10 @@
         self.metrics = Metrics()
         self._build_clients()
         self._build_watches()
-        self.heard_ends = HeardEnds(daemon=self)
+        self.heard_end_buffer = HeardEndBuffer(daemon=self)
         self.learned_speeds = LearnedSpeeds(daemon=self)
-        self.parts = PartCourier(daemon=self)
-        self.peers = PeerDesk(daemon=self)
+        self.parts = LimitPartRouter(daemon=self)
+        self.peers = PeerDispatcher(daemon=self)
         self.links = Links(
             sockets=self.sockets,
             instance=settings.instance,
@@ -82,20 +82,20 @@
             address=settings.peer,
             listener=self.peers,
         )
-        self.owner_load = OwnerLoadWatch(daemon=self, link_mbps=settings.link_mbps)
+        self.owner_load = OwnerLoadMonitor(daemon=self, link_mbps=settings.link_mbps)
         self.handover = Handover(
             daemon=self, tier=self.capacity.tier, address=settings.peer
         )
         self.readiness = Readiness(daemon=self)
         self.gateway = Gateway(daemon=self)
-        self.front = Front(daemon=self)
+        self.front = Frontend(daemon=self)
         self._ready_server = HttpServer(
             sockets=self.sockets,
             timers=self.timers,
             address=settings.ready,
             on_request=self._on_ready_request,
         )
-        OperatorsServer(
+        OperatorServer(
             daemon=self, address=Address(host=settings.front.host, port=METRICS_PORT)
         )
         self.timers.every(HEARTBEAT_MS, self.peers.send_heartbeats)
@@ -130,13 +130,13 @@
         self.worker_list = WorkerListWatch(
             store=self.store,
             timers=self.timers,
-            on_change=self.owned_cells.on_workers,
+            on_change=self.owned_cells.on_worker_list,
             on_unreadable=lambda: self.metrics.count("odd_answers", "worker_entry"),
         )
         self.layout = Layout(
             store=self.store,
             timers=self.timers,
-            most_cells=self.settings.store.partitions,
+            max_cells=self.settings.store.partitions,
             worker_list=self.worker_list,
             tier=self.capacity.tier,
             on_known=self._on_layout,
@@ -147,7 +147,7 @@
             settings=self.settings,
             life=self._life,
             on_change=self.owned_cells.update,
-            has_to_wait=OwnerFirst(daemon=self).waits,
+            must_wait=JoinDeferral(daemon=self).must_wait,
         )
         self.directory = OwnerDirectory(
             store=self.store,
@@ -155,7 +155,7 @@
             own_id=self.membership.member_id,
             partition_of=self.layout.partition_of,
             on_change=self._on_owners,
-            on_removed=self.membership.hurry,
+            on_removed=self.membership.join_now,
         )
         self.standby = Standby(
             timers=self.timers,
@@ -163,8 +163,8 @@
             directory=self.directory,
             layout=self.layout,
             tier=self.capacity.tier,
-            owner_tier=lambda: self.peers.members_heard.owner_tier(),
-            rest_until_ms=lambda: self.handover.rest_until_ms,
+            owner_tier=lambda: self.peers.member_statuses.owner_tier(),
+            cooldown_until_ms=lambda: self.handover.cooldown_until_ms,
             is_stopping=lambda: self.is_stopping,
         )
 
@@ -189,14 +189,14 @@
         return self._shutdown.has_begun
 
     @property
-    def reads_store(self):
+    def can_read_store(self):
         """Tell whether this instance's reads of the store are answered."""
-        return self._configuration_watch.is_answered
+        return self._configuration_watch.is_readable
 
     @property
-    def store_answers_since_ms(self):
+    def store_readable_since_ms(self):
         """Return since when each read of the store was answered, None if not."""
-        return self._configuration_watch.answered_since_ms
+        return self._configuration_watch.readable_since_ms
 
     # Life --------------------------------------------------------------------
 
@@ -228,8 +228,8 @@
         self.links.drop_silent(LINK_SILENCE_MS)
         self.readiness.check()
         self._settings_watch.check_signal()
-        if self._shutdown.is_over():
-            self._log_writer.write_waiting()
+        if self._shutdown.is_complete():
+            self._log_writer.flush_buffer()
             self.stop()
 
     def _on_layout(self):
@@ -252,7 +252,7 @@
 
 def _capacity(settings):
     """Return how well an instance with these settings can own a cell."""
-    return OwningCapacity(
+    return OwnerCapacity(
         cores=settings.speed_cores,
         link_mbps=settings.link_mbps,
         memory_mb=settings.memory_mb,
--- a/packages/thymefork-daemon/src/thymefork_daemon/front.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
@@ -10,7 +10,7 @@
 from thymefork_net import steady_ms
 from thymefork_net.http import HttpServer, ServerLimits
 
-__all__ = ["Front"]
+__all__ = ["Frontend"]
 
 # A request whose caller names no deadline is answered within this time.
 DEFAULT_PATIENCE_MS = 3_000.0
@@ -21,7 +21,7 @@
 RECORD_MARGIN_BYTES = 1_024
 
 
-class Front:
+class Frontend:
     """Check requests, answer what needs no owner, and forward the rest."""
 
     def __init__(self, *, daemon):
@@ -59,7 +59,7 @@
             request.answer(404)
             return
         account = configuration.account_of_key(CallerRequests.key_of(request))
-        if account is None and configuration.wants_key(queue):
+        if account is None and configuration.requires_key(queue):
             self._refuse_key(request)
             return
         try:
@@ -98,7 +98,10 @@
             self._daemon.metrics.observe("request", took_ms, kind=wanted.kind)
             if reply.outcome in (Outcome.REFUSED, Outcome.IN_DOUBT):
                 _log_refusal(wanted, queue, reply, took_ms)
-            if reply.outcome == Outcome.REFUSED and self._daemon.readiness.is_cut_off:
+            if (
+                reply.outcome == Outcome.REFUSED
+                and self._daemon.readiness.is_disconnected
+            ):
                 # Others can serve it: the caller need not wait, nor come back here.
                 request.keep_alive = False
                 reply = evolve(reply, retry_after_ms=0)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
@@ -7,7 +7,7 @@
 from thymefork_daemon import readiness as readiness_module
 from thymefork_daemon.readiness import Readiness
 
-CLOCKED = (readiness_module,)
+CLOCK_MODULES = (readiness_module,)
 
 
 @pytest.fixture
@@ -22,7 +22,7 @@
         links=SimpleNamespace(hears=lambda address, silence_ms: daemon.hears),
         peers=SimpleNamespace(has_store=lambda address: daemon.owner_has_store),
         owner_has_store=True,
-        reads_store=True,
+        can_read_store=True,
         hears=True,
     )
     return daemon
@@ -35,14 +35,14 @@
 def test_an_instance_that_reaches_neither_owner_nor_store_is_cut_off(daemon, timers):
     """From cab-bogota-grown, trouble-1: callers of a cut hall came back to it."""
     readiness = Readiness(daemon=daemon)
-    daemon.hears = daemon.reads_store = False
+    daemon.hears = daemon.can_read_store = False
     assert not readiness.check()
     timers.run(2_400)
-    assert not readiness.is_cut_off
+    assert not readiness.is_disconnected
     timers.run(200)
-    assert readiness.is_cut_off
+    assert readiness.is_disconnected
     daemon.hears = True
-    assert readiness.check() and not readiness.is_cut_off
+    assert readiness.check() and not readiness.is_disconnected
 
 
 def test_an_instance_that_reads_the_store_waits_for_an_owner(daemon, timers):
@@ -50,17 +50,17 @@
     daemon.hears = False
     readiness.check()
     timers.run(5_000)
-    assert not readiness.is_cut_off
+    assert not readiness.is_disconnected
 
 
 def test_an_instance_whose_owner_has_lost_the_store_is_not_ready(daemon, timers):
     """From wattle-tas, hunted days: a cut hall stayed in rotation with its owner."""
     readiness = Readiness(daemon=daemon)
-    daemon.owner_has_store = daemon.reads_store = False
+    daemon.owner_has_store = daemon.can_read_store = False
     assert not readiness.check()
     timers.run(5_000)
     # In an outage for all, callers that came back at once would use up their tries.
-    assert not readiness.is_cut_off
+    assert not readiness.is_disconnected
 
 
 @pytest.mark.parametrize("store_lost", [True, False])
