--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -23,13 +23,13 @@
 from thymefork_daemon.owner import (
     cell_owner as cell_owner_module,
     request_handler as request_handler_module,
-    scheduling_loop as turn_loop_module,
+    scheduling_loop as scheduling_loop_module,
 )
 
 from .fakes import FakeMetrics, capacity_attributes
 from .test_takeover import PartitionStore
 
-CLOCK_MODULES = (cell_owner_module, request_handler_module, turn_loop_module)
+CLOCK_MODULES = (cell_owner_module, request_handler_module, scheduling_loop_module)
 
 
 class PooledStore(PartitionStore):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from thymefork_daemon import join_deferral as owner_first_module
+from thymefork_daemon import join_deferral as join_deferral_module
 from thymefork_daemon.join_deferral import JoinDeferral
 
-CLOCK_MODULES = (owner_first_module,)
+CLOCK_MODULES = (join_deferral_module,)
 
 
 @pytest.fixture
@@ -45,12 +45,12 @@
 
 
 def test_nobody_waits_long_for_an_owner_that_is_cut_off_by_itself(daemon, timers):
-    first = JoinDeferral(daemon=daemon)
+    deferral = JoinDeferral(daemon=daemon)
     daemon.store_readable_since_ms = timers.now_ms
     timers.run(300)
-    assert first.must_wait()
+    assert deferral.must_wait()
     timers.run(200)
-    assert not first.must_wait()
+    assert not deferral.must_wait()
 
 
 class NewInstance:
