--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -105,7 +105,7 @@
     def _build_clients(self):
         settings = self.settings
         self.store = StoreClient(
-            pool=self._pool(8, distrusts_idle=True),
+            pool=self._pool(8, closes_idle_on_timeout=True),
             address=settings.store.address,
         )
         self.workers = WorkerClient(
@@ -115,12 +115,12 @@
         )
         self.advice = AdviceClient(pool=self._pool(2), address=settings.advice)
 
-    def _pool(self, most_per_address, *, distrusts_idle=False):
+    def _pool(self, max_per_address, *, closes_idle_on_timeout=False):
         return HttpPool(
             sockets=self.sockets,
             timers=self.timers,
-            most_per_address=most_per_address,
-            distrusts_idle=distrusts_idle,
+            max_per_address=max_per_address,
+            closes_idle_on_timeout=closes_idle_on_timeout,
         )
 
     def _build_watches(self):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -2,7 +2,7 @@
 
 from loguru import logger
 
-from thymefork_net import AnswerPace
+from thymefork_net import AdaptiveTimeout
 
 __all__ = ["AppendWindow"]
 
@@ -45,10 +45,10 @@
     def __init__(self, *, cell, metrics):
         self._cell = cell
         self._metrics = metrics
-        self._pace = AnswerPace(
+        self._pace = AdaptiveTimeout(
             first_ms=INITIAL_APPEND_MS,
             factor=HEDGE_FACTOR,
-            shortest_ms=MIN_HEDGE_DELAY_MS,
+            min_ms=MIN_HEDGE_DELAY_MS,
             longest_ms=MAX_HEDGE_DELAY_MS,
         )
         self._is_slow = False
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
@@ -62,7 +62,7 @@
             address = daemon.directory.owner_of(cell)
             if address is None or address == daemon.settings.peer:
                 continue
-            if daemon.links.is_silent(address, SILENT_MS):
+            if daemon.links.is_unresponsive(address, SILENT_MS):
                 self._evict(address, "silent")
 
     def _evict(self, address, reason):
@@ -92,4 +92,4 @@
             return membership.in_group and not membership.store_lost
         if not membership.is_healthy:
             return False
-        return self._daemon.links.heard_share(SILENT_MS) >= LEAST_HEARD_SHARE
+        return self._daemon.links.responsive_fraction(SILENT_MS) >= LEAST_HEARD_SHARE
--- a/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
@@ -61,7 +61,7 @@
         address = self._daemon.directory.owner_of(cell)
         if address is None:
             return False
-        return self._daemon.links.hears(address, OWNER_SILENCE_MS)
+        return self._daemon.links.is_responsive(address, OWNER_SILENCE_MS)
 
     def _owner_has_store(self, cell):
         """Tell whether a cell's owner can accept anything.
--- a/packages/thymefork-daemon/src/thymefork_daemon/request_attempts.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/request_attempts.py
@@ -43,7 +43,7 @@
         unsent = [
             row
             for row in self._open
-            if row.link is link and link.handed_bytes <= row.from_bytes
+            if row.link is link and link.written_bytes <= row.from_bytes
         ]
         self._open = [row for row in self._open if row not in unsent]
         return len(unsent)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
@@ -38,7 +38,7 @@
         return self.bytes_each * len(self.sent)
 
     @property
-    def handed_bytes(self):
+    def written_bytes(self):
         return self.sent_bytes - self.kept_bytes
 
     def send(self, message):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
@@ -28,8 +28,8 @@
             owner_of=lambda cell: OWNER, remove_dead=removed.append
         ),
         links=SimpleNamespace(
-            is_silent=lambda address, ms: timers.now_ms - heard_ms[address] >= ms,
-            heard_share=lambda ms: daemon.share,
+            is_unresponsive=lambda address, ms: timers.now_ms - heard_ms[address] >= ms,
+            responsive_fraction=lambda ms: daemon.share,
         ),
         membership=SimpleNamespace(
             is_healthy=True,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -91,7 +91,9 @@
             members={owner, *others}, owner_of=lambda cell: owner, refresh=lambda: None
         ),
         links=SimpleNamespace(
-            all=[], to=opened.append, is_silent=lambda address, ms: asked.append(ms)
+            all=[],
+            to=opened.append,
+            is_unresponsive=lambda address, ms: asked.append(ms),
         ),
         membership=SimpleNamespace(in_group=in_group, store_lost=False),
         metrics=FakeMetrics(),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
@@ -19,11 +19,13 @@
         settings=SimpleNamespace(orders_by_heartbeat=False),
         owners={},
         directory=SimpleNamespace(owner_of=lambda cell: "address"),
-        links=SimpleNamespace(hears=lambda address, silence_ms: daemon.hears),
+        links=SimpleNamespace(
+            is_responsive=lambda address, silence_ms: daemon.is_responsive
+        ),
         peers=SimpleNamespace(has_store=lambda address: daemon.owner_has_store),
         owner_has_store=True,
         can_read_store=True,
-        hears=True,
+        is_responsive=True,
     )
     return daemon
 
@@ -35,19 +37,19 @@
 def test_an_instance_that_reaches_neither_owner_nor_store_is_cut_off(daemon, timers):
     """From cab-bogota-grown, trouble-1: callers of a cut hall came back to it."""
     readiness = Readiness(daemon=daemon)
-    daemon.hears = daemon.can_read_store = False
+    daemon.is_responsive = daemon.can_read_store = False
     assert not readiness.check()
     timers.run(2_400)
     assert not readiness.is_disconnected
     timers.run(200)
     assert readiness.is_disconnected
-    daemon.hears = True
+    daemon.is_responsive = True
     assert readiness.check() and not readiness.is_disconnected
 
 
 def test_an_instance_that_reads_the_store_waits_for_an_owner(daemon, timers):
     readiness = Readiness(daemon=daemon)
-    daemon.hears = False
+    daemon.is_responsive = False
     readiness.check()
     timers.run(5_000)
     assert not readiness.is_disconnected
--- a/packages/thymefork-net/src/thymefork_net/answer_pace.py
+++ b/packages/thymefork-net/src/thymefork_net/adaptive_timeout.py
@@ -1,13 +1,13 @@
 """How long to wait for an answer, by how long answers take."""
 
-__all__ = ["AnswerPace"]
+__all__ = ["AdaptiveTimeout"]
 
 # The pace follows a slower answer at once and forgets it by this factor an answer, so
 # that one slow answer is forgotten after some twenty.
 DECAY = 0.9
 
 
-class AnswerPace:
+class AdaptiveTimeout:
     """Follow the times of answers; tell when a call counts as unanswered.
 
     While calls go unanswered one after the other, the patience grows with each, so
@@ -15,10 +15,10 @@
     Units: milliseconds.
     """
 
-    def __init__(self, *, first_ms, factor, shortest_ms, longest_ms):
+    def __init__(self, *, first_ms, factor, min_ms, longest_ms):
         self._pace_ms = first_ms
         self._factor = factor
-        self._shortest_ms = shortest_ms
+        self._shortest_ms = min_ms
         self._longest_ms = longest_ms
         self._missed_in_row = 0
 
@@ -27,7 +27,7 @@
         self._pace_ms = max(took_ms, DECAY * self._pace_ms)
         self._missed_in_row = 0
 
-    def missed(self):
+    def record_unanswered(self):
         """Note a call without an answer."""
         self._missed_in_row += 1
 
--- a/packages/thymefork-net/src/thymefork_net/http/call.py
+++ b/packages/thymefork-net/src/thymefork_net/http/call.py
@@ -13,8 +13,8 @@
 class HttpCall:
     """Hold a request and what takes its outcome.
 
-    Units: `deadline_ms` and `latest_ms` are on the steady clock. A call that sets
-    `latest_ms` may have a long answer: while parts of it come, its deadline moves on up
+    Units: `deadline_ms` and `max_deadline_ms` are on the steady clock. A call that sets
+    `max_deadline_ms` may have a long answer: while parts of it come, its deadline moves on up
     to that moment. `still_wanted` is asked right before
     the first byte leaves; the call fails unsent where it returns false. A call that
     `wants_new_connection` repeats one that is unanswered: others may be as silent.
@@ -28,7 +28,7 @@
     target: str
     on_answer: Callable
     deadline_ms: float
-    latest_ms: float = 0.0
+    max_deadline_ms: float = 0.0
     body: bytes = b""
     first_body: bytes | None = None
     is_first: bool = False
--- a/packages/thymefork-net/src/thymefork_net/http/client_connection.py
+++ b/packages/thymefork-net/src/thymefork_net/http/client_connection.py
@@ -98,7 +98,7 @@
         if self._complete:
             self._finish()
         else:
-            self._pool.on_part(self.call)
+            self._pool.on_partial_answer(self.call)
 
     def _finish(self):
         self._has_answered = True
--- a/packages/thymefork-net/src/thymefork_net/http/pool.py
+++ b/packages/thymefork-net/src/thymefork_net/http/pool.py
@@ -12,7 +12,7 @@
 __all__ = ["HttpPool"]
 
 # A server closes idle connections after 15 s by default; stay below that.
-IDLE_MS = 10_000.0
+IDLE_TIMEOUT_MS = 10_000.0
 # A long answer that comes in parts is given up once none has come for this long: a
 # call's usual time-out. Bounded as a whole instead, a page of records that takes longer
 # over a thin link was given up, asked for anew, and so on without an end.
@@ -23,22 +23,24 @@
     """Reuse idle connections; close any whose call has timed out.
 
     Open connections may go silent for good, all at once and without a reset, while new
-    ones work. A pool that `distrusts_idle` ones closes, with a call that got no answer,
+    ones work. A pool that `closes_idle_on_timeout` ones closes, with a call that got no answer,
     the idle connections to the same address that were not heard since. A pool of two or
     three an address loses as many calls at most, and saves connects after single ones.
     """
 
-    def __init__(self, *, sockets, timers, most_per_address, distrusts_idle=False):
+    def __init__(
+        self, *, sockets, timers, max_per_address, closes_idle_on_timeout=False
+    ):
         self._sockets = sockets
         self._timers = timers
-        self._most_per_address = most_per_address
-        self._distrusts_idle = distrusts_idle
+        self._most_per_address = max_per_address
+        self._distrusts_idle = closes_idle_on_timeout
         self._idle = {}
         self._open_counts = {}
         self._waiting = {}
         self.received_bytes = 0
-        self.connects = 0
-        timers.every(IDLE_MS / 2, self._close_idle)
+        self.connection_count = 0
+        timers.every(IDLE_TIMEOUT_MS / 2, self._close_idle)
 
     def send(self, call):
         """Send a call on an idle connection or a new one, or let it wait."""
@@ -74,7 +76,7 @@
         connection = ClientConnection(
             sockets=self._sockets, address=call.address, pool=self
         )
-        self.connects += 1
+        self.connection_count += 1
         self._open_counts[call.address] = self._open_counts.get(call.address, 0) + 1
         try:
             connection.connect()
@@ -96,10 +98,10 @@
         self._next(connection.address)
         self._end(call, answer)
 
-    def on_part(self, call):
+    def on_partial_answer(self, call):
         """Give the rest of a long answer more time, since a part of it has come."""
-        if call.latest_ms:
-            call.deadline_ms = min(call.latest_ms, steady_ms() + PART_TIMEOUT_MS)
+        if call.max_deadline_ms:
+            call.deadline_ms = min(call.max_deadline_ms, steady_ms() + PART_TIMEOUT_MS)
 
     def on_unwanted(self, connection):
         """Drop a call that became unwanted while its connection came about."""
@@ -166,5 +168,5 @@
         now_ms = steady_ms()
         for connections in list(self._idle.values()):
             for connection in list(connections):
-                if now_ms - connection.idle_since_ms > IDLE_MS:
+                if now_ms - connection.idle_since_ms > IDLE_TIMEOUT_MS:
                     self._close(connection)
--- a/packages/thymefork-net/src/thymefork_net/tests/test_answer_pace.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_adaptive_timeout.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from thymefork_net import AnswerPace
+from thymefork_net import AdaptiveTimeout
 
 
 @pytest.fixture
 def pace():
-    return AnswerPace(first_ms=4.0, factor=10.0, shortest_ms=60.0, longest_ms=300.0)
+    return AdaptiveTimeout(first_ms=4.0, factor=10.0, min_ms=60.0, longest_ms=300.0)
 
 
 def test_quick_answers_keep_the_patience_short(pace):
@@ -28,7 +28,7 @@
 
 def test_silence_in_a_row_makes_it_longer_up_to_the_bound(pace):
     for _ in range(9):
-        pace.missed()
+        pace.record_unanswered()
     assert pace.patience_ms == 300.0
     pace.answered(3.0)
     assert pace.patience_ms == 60.0
--- a/packages/thymefork-net/src/thymefork_net/tests/test_links.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_links.py
@@ -53,14 +53,14 @@
     link.send(
         Heartbeat(owned=[OwnedCell(cell=1, epoch=7)], config_version=3, leaving=False)
     )
-    loop.until(lambda: len(heard_b.messages) == 2)
+    loop.run_until(lambda: len(heard_b.messages) == 2)
     assert isinstance(heard_b.messages[0][1], Hello)
     incoming = heard_b.messages[1][0]
     assert incoming.peer.instance == "a"
     assert incoming.listener_address == address_of(a)
     assert link.listener_address == address_of(b)
     incoming.send(Heartbeat(owned=[], config_version=4, leaving=True))
-    loop.until(lambda: heard_a.messages)
+    loop.run_until(lambda: heard_a.messages)
     assert heard_a.messages[0][1].leaving
     assert a.to(address_of(b)) is link
 
@@ -68,7 +68,7 @@
 def test_a_refused_link_says_so(loop, pair):
     (a, heard), _ = pair
     a.to(free_address())
-    loop.until(lambda: heard.broken)
+    loop.run_until(lambda: heard.broken)
     assert heard.broken[0].was_refused
 
 
@@ -76,13 +76,13 @@
     (a, heard), _ = pair
     sock = socket.create_connection((address_of(a).host, address_of(a).port))
     sock.sendall(b"\x00\x00\x00\x04oops")
-    loop.until(lambda: heard.broken)
+    loop.run_until(lambda: heard.broken)
 
 
 def test_a_silent_link_is_dropped(loop, pair):
     (a, heard), (b, _) = pair
     a.to(address_of(b))
-    loop.until(lambda: all(link.connected for link in a.all))
+    loop.run_until(lambda: all(link.connected for link in a.all))
     a.drop_silent(-1.0)
     assert heard.broken
 
@@ -91,14 +91,14 @@
     (a, _), (b, heard_b) = pair
     link = a.to(address_of(b))
     link.send(Heartbeat(owned=[], config_version=4, leaving=True))
-    assert link.sent_bytes > 0 and link.handed_bytes == 0
-    loop.until(lambda: len(heard_b.messages) == 2)
-    assert link.handed_bytes == link.sent_bytes
+    assert link.sent_bytes > 0 and link.written_bytes == 0
+    loop.run_until(lambda: len(heard_b.messages) == 2)
+    assert link.written_bytes == link.sent_bytes
 
 
 def test_nothing_has_left_on_a_link_that_was_refused(loop, pair):
     (a, heard), _ = pair
     link = a.to(free_address())
     link.send(Heartbeat(owned=[], config_version=4, leaving=True))
-    loop.until(lambda: heard.broken)
-    assert link.sent_bytes > 0 and link.handed_bytes == 0
+    loop.run_until(lambda: heard.broken)
+    assert link.sent_bytes > 0 and link.written_bytes == 0
--- a/packages/thymefork-net/src/thymefork_net/tests/test_long_answers.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_long_answers.py
@@ -71,12 +71,14 @@
 ):
     """From cab-bogota-large, trouble-3 at a small size: a page was never whole."""
     dribble(parts=10, apart_ms=30)
-    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=1)
+    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
     deadline_ms = steady_ms() + 120
-    latest_ms = deadline_ms + extra_ms if extra_ms else 0.0
-    pool.send(call(address, answers, deadline_ms=deadline_ms, latest_ms=latest_ms))
-    loop.until(lambda: answers)
+    max_deadline_ms = deadline_ms + extra_ms if extra_ms else 0.0
+    pool.send(
+        call(address, answers, deadline_ms=deadline_ms, max_deadline_ms=max_deadline_ms)
+    )
+    loop.run_until(lambda: answers)
     assert answers[0].status == status
 
 
@@ -85,11 +87,11 @@
 ):
     monkeypatch.setattr(pool_module, "PART_TIMEOUT_MS", 100.0)
     dribble(parts=10, apart_ms=30, stops_after=5)
-    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=1)
+    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
     began_ms = steady_ms()
     fields = {"deadline_ms": began_ms + 120, "latest_ms": began_ms + 5_000}
     pool.send(call(address, answers, **fields))
-    loop.until(lambda: answers)
+    loop.run_until(lambda: answers)
     assert answers[0].status == 0
     assert steady_ms() - began_ms < 1_000
--- a/packages/thymefork-net/src/thymefork_net/tests/test_steady.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_steady.py
@@ -16,7 +16,7 @@
     loop.timers.at(now_ms + 10, lambda: fired.append("a"))
     dropped = loop.timers.at(now_ms + 20, lambda: fired.append("never"))
     loop.timers.cancel(dropped)
-    loop.until(lambda: len(fired) == 2)
+    loop.run_until(lambda: len(fired) == 2)
     assert fired == ["a", "b"]
 
 
@@ -24,14 +24,14 @@
     fired = []
     monkeypatch.setattr(time, "time", lambda: 0.0)
     loop.timers.after(20, lambda: fired.append(1))
-    loop.until(lambda: fired)
+    loop.run_until(lambda: fired)
 
 
 def test_a_failing_timer_does_not_stop_the_others(loop):
     fired = []
     loop.timers.after(5, lambda: 1 / 0)
     loop.timers.after(10, lambda: fired.append(1))
-    loop.until(lambda: fired)
+    loop.run_until(lambda: fired)
 
 
 def test_the_time_for_which_the_machine_was_suspended_counts(monkeypatch):
@@ -54,7 +54,7 @@
     monkeypatch.setattr(
         time, "clock_gettime", lambda clock: read(clock) + slept_s.get(clock, 0.0)
     )
-    loop.until(lambda: fired)
+    loop.run_until(lambda: fired)
 
 
 def test_decisions_read_no_clock_but_the_one_that_counts_sleep():
