--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -46,10 +46,10 @@
         self._cell = cell
         self._metrics = metrics
         self._pace = AdaptiveTimeout(
-            first_ms=INITIAL_APPEND_MS,
+            initial_ms=INITIAL_APPEND_MS,
             factor=HEDGE_FACTOR,
             min_ms=MIN_HEDGE_DELAY_MS,
-            longest_ms=MAX_HEDGE_DELAY_MS,
+            max_ms=MAX_HEDGE_DELAY_MS,
         )
         self._is_slow = False
         self._baseline_ms = 0.0
@@ -98,7 +98,7 @@
 
         A call that `repeats` another may be answered for it, and so too soon.
         """
-        self._pace.answered(took_ms)
+        self._pace.record_answer_time(took_ms)
         was_slow = self._is_slow
         self._is_slow = took_ms > (FAST_THRESHOLD_MS if was_slow else SLOW_THRESHOLD_MS)
         if self._is_slow != was_slow:
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_routes.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_routes.py
@@ -23,7 +23,7 @@
         if address is None or address == self._daemon.settings.peer:
             directory.refresh()
             return None
-        link = self._daemon.links.to(address)
+        link = self._daemon.links.open_link(address)
         if link is None:
             directory.forget(cell, address)
         return link
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -114,7 +114,7 @@
             if address is None or address == self._daemon.settings.peer:
                 self._daemon.directory.refresh()
             else:
-                self._daemon.links.to(address)
+                self._daemon.links.open_link(address)
         if self._daemon.membership.in_group:
             self._keep_neighbours()
 
@@ -129,7 +129,7 @@
             others, key=lambda other: xxhash.xxh32_intdigest(f"{own}|{other}".encode())
         )
         for address in ranked[:NEIGHBOUR_LINKS]:
-            self._daemon.links.to(address)
+            self._daemon.links.open_link(address)
 
     def on_message(self, link, message):
         """Hand a peer's message on."""
@@ -275,7 +275,7 @@
         self._daemon.membership.join_now()
         if link.connected and link.address is not None:
             # If the process is gone, the new connection is refused at once.
-            self._daemon.links.to(link.address)
+            self._daemon.links.open_link(link.address)
         self._on_links_changed()
 
     def _on_links_changed(self):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
@@ -99,7 +99,7 @@
         layout=SimpleNamespace(cells=1),
         owners={},
         directory=FakeDirectory(),
-        links=SimpleNamespace(to=lambda address: links[address]),
+        links=SimpleNamespace(open_link=lambda address: links[address]),
         link=link,
         successor=links[SUCCESSOR],
         timers=timers,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
@@ -87,7 +87,7 @@
         membership=SimpleNamespace(in_group=False, join_now=lambda: None),
         owned_cells=SimpleNamespace(on_peer_ownership=lambda owned: None),
         gateway=SimpleNamespace(on_heartbeat=lambda link, message: None),
-        links=SimpleNamespace(to=lambda address: link),
+        links=SimpleNamespace(open_link=lambda address: link),
         directory=SimpleNamespace(
             owner_of=lambda cell: daemon.owner_addresses.get(cell),
             refresh=lambda: None,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
@@ -215,7 +215,7 @@
         layout=SimpleNamespace(cells=0),
         settings=SimpleNamespace(peer=own),
         directory=SimpleNamespace(members={own, *others}),
-        links=SimpleNamespace(all=[], to=opened.add),
+        links=SimpleNamespace(all=[], open_link=opened.add),
         membership=SimpleNamespace(in_group=True, store_lost=False, round_trip_ms=6.0),
         metrics=FakeMetrics(),
         **capacity_attributes(),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -92,7 +92,7 @@
         ),
         links=SimpleNamespace(
             all=[],
-            to=opened.append,
+            open_link=opened.append,
             is_unresponsive=lambda address, ms: asked.append(ms),
         ),
         membership=SimpleNamespace(in_group=in_group, store_lost=False),
--- a/packages/thymefork-net/src/thymefork_net/adaptive_timeout.py
+++ b/packages/thymefork-net/src/thymefork_net/adaptive_timeout.py
@@ -15,14 +15,14 @@
     Units: milliseconds.
     """
 
-    def __init__(self, *, first_ms, factor, min_ms, longest_ms):
-        self._pace_ms = first_ms
+    def __init__(self, *, initial_ms, factor, min_ms, max_ms):
+        self._pace_ms = initial_ms
         self._factor = factor
         self._shortest_ms = min_ms
-        self._longest_ms = longest_ms
+        self._longest_ms = max_ms
         self._missed_in_row = 0
 
-    def answered(self, took_ms):
+    def record_answer_time(self, took_ms):
         """Note an answer."""
         self._pace_ms = max(took_ms, DECAY * self._pace_ms)
         self._missed_in_row = 0
--- a/packages/thymefork-net/src/thymefork_net/peers/links.py
+++ b/packages/thymefork-net/src/thymefork_net/peers/links.py
@@ -29,7 +29,7 @@
         self._server = open_listener(address, BACKLOG)
         sockets.add(self._server, self)
 
-    def to(self, address):
+    def open_link(self, address):
         """Return the link to an address, opening it if need be; None if it can't."""
         link = self._out.get(address)
         if link is None:
--- a/packages/thymefork-net/src/thymefork_net/tests/test_adaptive_timeout.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_adaptive_timeout.py
@@ -7,22 +7,22 @@
 
 @pytest.fixture
 def pace():
-    return AdaptiveTimeout(first_ms=4.0, factor=10.0, min_ms=60.0, longest_ms=300.0)
+    return AdaptiveTimeout(initial_ms=4.0, factor=10.0, min_ms=60.0, max_ms=300.0)
 
 
 def test_quick_answers_keep_the_patience_short(pace):
     for _ in range(20):
-        pace.answered(3.0)
+        pace.record_answer_time(3.0)
     assert pace.patience_ms == 60.0
 
 
 def test_a_slow_answer_is_followed_at_once_and_forgotten_slowly(pace):
-    pace.answered(20.0)
+    pace.record_answer_time(20.0)
     assert pace.patience_ms == 200.0
-    pace.answered(3.0)
+    pace.record_answer_time(3.0)
     assert pace.patience_ms == 180.0
     for _ in range(20):
-        pace.answered(3.0)
+        pace.record_answer_time(3.0)
     assert pace.patience_ms == 60.0
 
 
@@ -30,5 +30,5 @@
     for _ in range(9):
         pace.record_unanswered()
     assert pace.patience_ms == 300.0
-    pace.answered(3.0)
+    pace.record_answer_time(3.0)
     assert pace.patience_ms == 60.0
--- a/packages/thymefork-net/src/thymefork_net/tests/test_links.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_links.py
@@ -49,7 +49,7 @@
 
 def test_messages_go_both_ways_on_one_link(loop, pair):
     (a, heard_a), (b, heard_b) = pair
-    link = a.to(address_of(b))
+    link = a.open_link(address_of(b))
     link.send(
         Heartbeat(owned=[OwnedCell(cell=1, epoch=7)], config_version=3, leaving=False)
     )
@@ -62,12 +62,12 @@
     incoming.send(Heartbeat(owned=[], config_version=4, leaving=True))
     loop.run_until(lambda: heard_a.messages)
     assert heard_a.messages[0][1].leaving
-    assert a.to(address_of(b)) is link
+    assert a.open_link(address_of(b)) is link
 
 
 def test_a_refused_link_says_so(loop, pair):
     (a, heard), _ = pair
-    a.to(free_address())
+    a.open_link(free_address())
     loop.run_until(lambda: heard.broken)
     assert heard.broken[0].was_refused
 
@@ -81,7 +81,7 @@
 
 def test_a_silent_link_is_dropped(loop, pair):
     (a, heard), (b, _) = pair
-    a.to(address_of(b))
+    a.open_link(address_of(b))
     loop.run_until(lambda: all(link.connected for link in a.all))
     a.drop_silent(-1.0)
     assert heard.broken
@@ -89,7 +89,7 @@
 
 def test_a_link_tells_how_much_of_what_was_sent_has_left(loop, pair):
     (a, _), (b, heard_b) = pair
-    link = a.to(address_of(b))
+    link = a.open_link(address_of(b))
     link.send(Heartbeat(owned=[], config_version=4, leaving=True))
     assert link.sent_bytes > 0 and link.written_bytes == 0
     loop.run_until(lambda: len(heard_b.messages) == 2)
@@ -98,7 +98,7 @@
 
 def test_nothing_has_left_on_a_link_that_was_refused(loop, pair):
     (a, heard), _ = pair
-    link = a.to(free_address())
+    link = a.open_link(free_address())
     link.send(Heartbeat(owned=[], config_version=4, leaving=True))
     loop.run_until(lambda: heard.broken)
     assert link.sent_bytes > 0 and link.written_bytes == 0
