--- a/packages/thymefork-cli/src/thymefork_cli/explain.py
+++ b/packages/thymefork-cli/src/thymefork_cli/explain.py
@@ -5,13 +5,13 @@
 from .log_lines import (
     is_about,
     is_at_limit,
-    is_beyond_share,
+    is_over_share,
     lacks_permission,
     lines_with,
     ms_between,
 )
 
-__all__ = ["Story", "explain_subject"]
+__all__ = ["Timeline", "explain_subject"]
 
 # Lines about the whole cell that tell why its jobs had to wait, with what they mean.
 _CELL_EVENTS = {
@@ -29,7 +29,7 @@
 
 
 @frozen(kw_only=True)
-class Story:
+class Timeline:
     """Hold the lines about an id in time order, and the cause of its end."""
 
     subject: str
@@ -64,7 +64,7 @@
     own = tuple(line for line in lines if is_about(line, subject))
     if not own:
         cause = "no line names this id: it never reached an instance whose log is here"
-        return Story(subject=subject, lines=(), cause=cause)
+        return Timeline(subject=subject, lines=(), cause=cause)
     first, last = own[0]["at"], own[-1]["at"]
     workers = {line["worker"] for line in own if "worker" in line}
     near = tuple(
@@ -72,7 +72,7 @@
         for line in lines
         if first <= line["at"] <= last and _is_near(line, workers)
     )
-    return Story(subject=subject, lines=own, near=near, cause=_cause(own, near))
+    return Timeline(subject=subject, lines=own, near=near, cause=_cause(own, near))
 
 
 def _is_near(line, workers):
@@ -169,6 +169,6 @@
         lacks = f"its account {line['account']}, which had all running that it may"
     elif lacks_permission(line):
         lacks = "a permission of its policy"
-    elif is_beyond_share(line):
+    elif is_over_share(line):
         lacks = f"room behind others' shares: {line['account']} was beyond its own"
     return f"{line['step']} waited {line['for_ms']} ms for {lacks}"
--- a/packages/thymefork-cli/src/thymefork_cli/losses/cause_rules.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/cause_rules.py
@@ -2,13 +2,13 @@
 
 from collections import Counter
 
-from ..log_lines import is_at_limit, is_beyond_share, lacks_permission, ms_between
+from ..log_lines import is_at_limit, is_over_share, lacks_permission, ms_between
 from .cause import Cause
 
 __all__ = ["cause_of_delay", "cause_of_refusal", "cause_of_wait"]
 
 # A delay below this explains nothing: it is what each start or append takes.
-LEAST_DELAY_MS = 50.0
+MIN_DELAY_MS = 50.0
 
 
 def cause_of_refusal(job):
@@ -25,7 +25,7 @@
         return Cause.ACCOUNT_LIMIT
     if lacks_permission(wait):
         return Cause.NO_PERMISSION
-    return Cause.BEYOND_SHARE if is_beyond_share(wait) else Cause.NO_ROOM
+    return Cause.BEYOND_SHARE if is_over_share(wait) else Cause.NO_ROOM
 
 
 def cause_of_delay(job, ended, others):
@@ -46,7 +46,7 @@
     cause = _cause_of_late_start(job, meanwhile)
     parts_ms[cause] = max(parts_ms.get(cause, 0.0), waited_ms)
     largest = max(parts_ms, key=parts_ms.get)
-    if parts_ms[largest] >= LEAST_DELAY_MS:
+    if parts_ms[largest] >= MIN_DELAY_MS:
         return largest
     return _cause_among(meanwhile)
 
--- a/packages/thymefork-cli/src/thymefork_cli/losses/find.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/find.py
@@ -12,7 +12,7 @@
 
 # A job that has not ended this long before the logs do counts as lost; younger ones
 # may still be on their way.
-OPEN_MS = 20_000.0
+LOST_AFTER_MS = 20_000.0
 # Without these lines of a job it can't be told what became of it.
 DECISIVE_EVENTS = {"job_accepted", "job_ended"}
 
@@ -27,7 +27,7 @@
         else:
             others.append(line)
     jobs = [JobLines(job=job, lines=own) for job, own in by_job.items()]
-    handed_in = [job for job in jobs if job.is_handed_in]
+    handed_in = [job for job in jobs if job.is_submitted]
     left_out_at = _last_left_out_at(others)
     known = [job for job in handed_in if not _is_unknown(job, left_out_at)]
     found = [_loss_of(job, others, lines[-1]) for job in known]
@@ -91,7 +91,7 @@
         return None
     if not job.is_accepted:
         return cause_of_refusal(job)
-    if ms_between(job.first, last_line) < OPEN_MS:
+    if ms_between(job.first, last_line) < LOST_AFTER_MS:
         return None
     return _cause_if_open(job)
 
--- a/packages/thymefork-cli/src/thymefork_cli/main.py
+++ b/packages/thymefork-cli/src/thymefork_cli/main.py
@@ -17,10 +17,10 @@
 from .client import EntryClient
 from .exit_codes import (
     CONFLICT,
+    INVALID_FILE,
     NOT_IN_FORCE,
     UNKNOWN_SUBJECT,
     UNREACHABLE,
-    WRONG_FILE,
 )
 from .explain import explain_subject
 from .log_lines import read_lines
@@ -63,7 +63,7 @@
         check_file(file, str(path))
         return file
     except ThymeforkError as failure:
-        _fail(failure, as_json, WRONG_FILE)
+        _fail(failure, as_json, INVALID_FILE)
 
 
 @app.command()
@@ -102,7 +102,7 @@
                 f"{document['author'] or 'nobody'} is in force; read it, then apply"
                 f" with --base {document['version']}"
             )
-            code = CONFLICT if answer.status == 409 else WRONG_FILE
+            code = CONFLICT if answer.status == 409 else INVALID_FILE
             _fail(ThymeforkError(text, step="apply", peer=to), json, code)
         version = answer.document["version"]
         missing = _wait_in_force(client, version)
@@ -132,7 +132,7 @@
         _fail(failure, as_json, UNREACHABLE)
     if answer.status != 200:
         text = answer.document.get("error", f"status {answer.status}")
-        _fail(ThymeforkError(text, step="report", peer=to), as_json, WRONG_FILE)
+        _fail(ThymeforkError(text, step="report", peer=to), as_json, INVALID_FILE)
     _print(answer.document, as_json, show)
 
 
@@ -182,7 +182,7 @@
         if plot is not None:
             raise ThymeforkError("--plot goes with --losses", step="explain")
     except ThymeforkError as failure:
-        _fail(failure, json, WRONG_FILE)
+        _fail(failure, json, INVALID_FILE)
     story = explain_subject(names[0], lines)
     _print(story.document(), json, lambda _: typer.echo(story.text()))
     raise typer.Exit(0 if story.lines else UNKNOWN_SUBJECT)
--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -109,8 +109,8 @@
             address=settings.store.address,
         )
         self.workers = WorkerClient(
-            order_pool=self._pool(3),
-            look_pool=self._pool(2),
+            command_pool=self._pool(3),
+            poll_pool=self._pool(2),
             on_unreadable=lambda kind: self.metrics.count("odd_answers", kind),
         )
         self.advice = AdviceClient(pool=self._pool(2), address=settings.advice)
@@ -205,7 +205,7 @@
         line = logger.bind(event="started", life=self._life)
         line = line.bind(tier=self.capacity.tier.name, lacks=self.capacity.lacks)
         line.info("started")
-        if self.settings.orders_by_heartbeat:
+        if self.settings.commands_by_heartbeat:
             line = logger.bind(event="not_supported", setting="orders")
             line.error("workers take no calls here, so nothing can be run")
         self._configuration_watch.start()
--- a/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
@@ -85,7 +85,7 @@
         data = encode_spec(wanted.spec) if wanted.spec is not None else b""
         if (
             len(data) + RECORD_MARGIN_BYTES
-            > self._daemon.settings.store.most_record_bytes
+            > self._daemon.settings.store.max_record_bytes
         ):
             self._on_refused(413)
             request.answer(413)
--- a/packages/thymefork-daemon/src/thymefork_daemon/membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/membership.py
@@ -69,7 +69,7 @@
     def __init__(self, *, store, timers, settings, life, on_change, must_wait):
         peer = settings.peer
         self.member_id = f"{settings.instance}|{peer.host}|{peer.port}|{life}"
-        self.ttl_ms = float(settings.store.shortest_membership_ms)
+        self.ttl_ms = float(settings.store.min_membership_ms)
         self.generation = 0
         self.epochs = {}
         self.valid_until_ms = 0.0
@@ -143,7 +143,7 @@
     def _join_after(self, delay_ms):
         self._join_timer = self._timers.after(delay_ms, self._join)
 
-    def _join(self, *, repeats=False):
+    def _join(self, *, is_repeat=False):
         self._join_timer = 0
         if self._left:
             return
@@ -161,7 +161,7 @@
             topic=CELLS_TOPIC,
             ttl_ms=int(self.ttl_ms),
             generation=self.generation,
-            repeats=repeats,
+            is_repeat=is_repeat,
             on_result=lambda result: self._on_result(call, result, sent_ms),
         )
 
@@ -169,7 +169,7 @@
         """Join once more beside a call that has no answer yet."""
         if self._last_sent_ms == sent_ms and self._last_answered_ms < sent_ms:
             self._timers.cancel(self._join_timer)
-            self._join(repeats=True)
+            self._join(is_repeat=True)
 
     def _on_result(self, call, result, sent_ms):
         self._pending_joins.discard(call)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pipeline.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pipeline.py
@@ -159,14 +159,14 @@
         call = AppendCall(
             sent_ms=steady_ms(),
             follows=self._is_head(pending),
-            repeats=pending.was_sent,
+            is_repeat=pending.was_sent,
         )
         pending.was_sent = True
         pending.open_calls += 1
         self._partition.append(
             records=pending.batch.records,
             sequence=pending.sequence,
-            repeats=pending.open_calls > 1,
+            is_repeat=pending.open_calls > 1,
             on_result=lambda result: self._on_result(pending, result, call),
         )
         self._timers.after(pending.hedge_delay_ms, lambda: self._hedge(pending))
@@ -206,7 +206,9 @@
             return
         self._metrics.count("store_calls", f"append_{result.outcome}")
         if result.outcome is AppendOutcome.STORED:
-            self._window.record_answer(steady_ms() - call.sent_ms, repeats=call.repeats)
+            self._window.record_answer(
+                steady_ms() - call.sent_ms, is_repeat=call.is_repeat
+            )
             self._on_stored(pending.sequence)
         elif result.outcome is AppendOutcome.OUT_OF_SEQUENCE:
             self._on_out_of_sequence(pending, result, call)
@@ -223,10 +225,10 @@
 
         One that follows what is known to be stored can't come too early.
         """
-        if call.follows and result.wanted_sequence <= pending.sequence:
+        if call.follows and result.expected_sequence <= pending.sequence:
             self._on_refused(result)
-        elif result.wanted_sequence - 1 > self._stored_sequence:
-            self._on_stored(result.wanted_sequence - 1)
+        elif result.expected_sequence - 1 > self._stored_sequence:
+            self._on_stored(result.expected_sequence - 1)
         elif self._is_head(pending):
             self._metrics.count("retries", "append_too_early")
             self._resend(pending)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -93,17 +93,17 @@
             line.info("the store is slow: appends are sent beside others")
         self._overlapping_count += 1
 
-    def record_answer(self, took_ms, *, repeats):
+    def record_answer(self, took_ms, *, is_repeat):
         """Follow the store's time; log once when it becomes slow or quick again.
 
-        A call that `repeats` another may be answered for it, and so too soon.
+        A call that `is_repeat` another may be answered for it, and so too soon.
         """
         self._pace.record_answer_time(took_ms)
         was_slow = self._is_slow
         self._is_slow = took_ms > (FAST_THRESHOLD_MS if was_slow else SLOW_THRESHOLD_MS)
         if self._is_slow != was_slow:
             self._on_speed_change(took_ms)
-        if self._is_slow and not repeats:
+        if self._is_slow and not is_repeat:
             self._adapt_target(took_ms)
 
     def _on_speed_change(self, took_ms):
--- a/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
@@ -27,7 +27,7 @@
             or not daemon.layout.cells
         ):
             return False
-        if daemon.settings.orders_by_heartbeat:
+        if daemon.settings.commands_by_heartbeat:
             return False
         cells = range(daemon.layout.cells)
         if not self.hears_all_owners:
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/sequenced_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/sequenced_store.py
@@ -96,7 +96,7 @@
             store.stored += self.records
         elif not 0 <= store.last_number - self.sequence < REMEMBERED_NUMBERS:
             return AppendResult(
-                outcome=AppendOutcome.OUT_OF_SEQUENCE, wanted_sequence=wanted
+                outcome=AppendOutcome.OUT_OF_SEQUENCE, expected_sequence=wanted
             )
         return AppendResult(outcome=AppendOutcome.STORED)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
@@ -66,7 +66,7 @@
 
 def answer(writer, call, outcome, wanted=-1):
     """Answer a call; 0 is the one that showed the store to be slow."""
-    result = AppendResult(outcome=outcome, wanted_sequence=wanted)
+    result = AppendResult(outcome=outcome, expected_sequence=wanted)
     writer.store.appends[call]["on_result"](result)
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_pipeline.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_pipeline.py
@@ -38,7 +38,7 @@
 
 
 def answer(pipeline, outcome, call=-1, wanted=-1):
-    result = AppendResult(outcome=outcome, wanted_sequence=wanted)
+    result = AppendResult(outcome=outcome, expected_sequence=wanted)
     pipeline.store.appends[call]["on_result"](result)
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
@@ -51,7 +51,7 @@
         settings=SimpleNamespace(
             instance="edge-1",
             peer=Address(host="10.0.0.1", port=7000),
-            store=SimpleNamespace(shortest_membership_ms=1_000),
+            store=SimpleNamespace(min_membership_ms=1_000),
         ),
         life="1",
         on_change=lambda: None,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_frontend_keys.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_frontend_keys.py
@@ -73,7 +73,7 @@
         sockets=None,
         timers=timers,
         settings=SimpleNamespace(
-            front=None, store=SimpleNamespace(most_record_bytes=262_144)
+            front=None, store=SimpleNamespace(max_record_bytes=262_144)
         ),
         metrics=FakeMetrics(),
         gateway=FakeGateway(),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
@@ -28,7 +28,7 @@
         settings = SimpleNamespace(
             instance="edge-1",
             peer=PEER,
-            store=SimpleNamespace(shortest_membership_ms=1_000),
+            store=SimpleNamespace(min_membership_ms=1_000),
         )
         return Membership(
             store=store,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
@@ -16,7 +16,7 @@
         configuration=object(),
         is_stopping=False,
         layout=SimpleNamespace(cells=1),
-        settings=SimpleNamespace(orders_by_heartbeat=False),
+        settings=SimpleNamespace(commands_by_heartbeat=False),
         owners={},
         directory=SimpleNamespace(owner_of=lambda cell: "address"),
         links=SimpleNamespace(
