--- a/bench/experiments.py
+++ b/bench/experiments.py
@@ -50,7 +50,7 @@
     def rank(step):
         priority = order._context.queue(step.job).priority
         work_ms = len(step.waiting) * step.spec.estimated_ms
-        return step.job.is_over_share, priority, work_ms * step.spec.cpu_milli
+        return step.job.is_beyond_share, priority, work_ms * step.spec.cpu_milli
 
     return sorted(steps(order, now_ms), key=rank)
 
--- a/bench/load_states.py
+++ b/bench/load_states.py
@@ -75,7 +75,7 @@
 
     def rank(step):
         job = step.job
-        beyond = job.is_over_share
+        beyond = job.is_beyond_share
         priority = 0 if over_priorities else order._context.queue(job).priority
         if _can_be_in_time(order, step, slowness, now_ms):
             return (beyond, priority, 0, 0.0)
--- a/bench/share_orders.py
+++ b/bench/share_orders.py
@@ -74,8 +74,8 @@
 def fair_queueing_beyond(order, steps, now_ms):
     """Order what is beyond the shares in jobs by start-time fair queueing."""
     queue = _queue(order)
-    within = [step for step in steps if not step.job.is_over_share]
-    beyond = [step for step in steps if step.job.is_over_share]
+    within = [step for step in steps if not step.job.is_beyond_share]
+    beyond = [step for step in steps if step.job.is_beyond_share]
     ranked = sorted(beyond, key=lambda step: queue.tag(order, step))
     return list(chain(within, ranked))
 
@@ -88,7 +88,7 @@
     )
     groups = {}
     for step in steps:
-        beyond = step.job.is_over_share
+        beyond = step.job.is_beyond_share
         priority = 0 if beyond else order._context.queue(step.job).priority
         groups.setdefault((beyond, priority), []).append(step)
     ranked = chain.from_iterable(shares.fair_order(group) for group in groups.values())
--- a/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
@@ -96,7 +96,7 @@
     def _steps_later(self, step, may_start):
         """Return by how many steps of priority a step's call comes later."""
         steps = self._context.queue(step.job).priority
-        steps += BEYOND_SHARE_STEPS * step.job.is_over_share
+        steps += BEYOND_SHARE_STEPS * step.job.is_beyond_share
         return steps + HELD_BACK_STEPS * (not may_start)
 
     def send_requests(self, now_ms, *, permits):
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
@@ -66,7 +66,7 @@
             now_ms=now_ms,
             first_start_ms=first_start_ms,
         )
-        job.is_over_share = not self._shares.admits(account_name, now_ms)
+        job.is_beyond_share = not self._shares.admits(account_name, now_ms)
         job.objective_ms = now_ms + self._objective_ms(job)
         self._context.jobs[job_id] = job
         self._context.live_jobs[job_id] = job
@@ -77,7 +77,7 @@
             job=job_id,
             queue=queue_name,
             account=account_name,
-            beyond_share=job.is_over_share,
+            beyond_share=job.is_beyond_share,
             steps=len(spec.steps),
             tasks=spec.task_count,
             cpu_milli=max(step.cpu_milli for step in spec.steps),
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
@@ -72,4 +72,4 @@
         )
         for job in by_age:
             is_within = self._shares.admits(job.account_name, job.accepted_ms)
-            job.is_over_share = not is_within
+            job.is_beyond_share = not is_within
--- a/packages/thymefork-cells/src/thymefork_cells/placement/placement_log.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placement_log.py
@@ -43,7 +43,7 @@
         name = step.job.account_name
         if not self._dominant_shares.tracks(name):
             return {}
-        turn = "beyond_share" if step.job.is_over_share else "within_share"
+        turn = "beyond_share" if step.job.is_beyond_share else "within_share"
         if self._dominant_shares.is_starved(name, now_ms):
             turn = "stood_still"
         self._context.count("starts_by_share", turn, count)
@@ -79,7 +79,7 @@
             memory_mb=step.spec.memory_mb,
             for_ms=round(now_ms - step.ready_ms),
             account=step.job.account_name,
-            beyond_share=step.job.is_over_share,
+            beyond_share=step.job.is_beyond_share,
             account_uses=self._account_uses(step),
             account_allows=self._quotas.tasks_allowed(step, now_ms),
             **_counts_of(step, workers, with_ticket),
--- a/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
@@ -37,7 +37,7 @@
                     continue
                 self._note_turn(step, now_ms)
                 urgency = (-starved_ms(step, now_ms), job.objective_ms, step.index)
-                rank = (job.is_over_share, queue.priority, *urgency)
+                rank = (job.is_beyond_share, queue.priority, *urgency)
                 ranked.append((rank, step))
         ranked.sort(key=itemgetter(0))
         return self._by_use([step for _, step in ranked], now_ms)
@@ -48,7 +48,7 @@
             return steps
         wanting = {step.job.account_name for step in steps if step.ready}
         self._dominant_shares.record_waiting(wanting, now_ms)
-        within = [step for step in steps if not step.job.is_over_share]
+        within = [step for step in steps if not step.job.is_beyond_share]
         beyond = steps[len(within) :]
         if beyond:
             beyond = self._dominant_shares.fair_order(beyond)
--- a/packages/thymefork-cells/src/thymefork_cells/state/job.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/job.py
@@ -31,7 +31,7 @@
     """Follow a job.
 
     `state` is what was decided, `visible_state` what is stored and so may be told.
-    `usage` is what all jobs of its client account hold; `is_over_share` tells that
+    `usage` is what all jobs of its client account hold; `is_beyond_share` tells that
     the account had sent more than its share when the job came; `has_run` that a worker
     has told of a run of it.
     Units: `*_ms` on the steady clock.
@@ -43,7 +43,7 @@
     accepted_ms: float
     account_name: str = ""
     usage: AccountUsage = field(factory=AccountUsage)
-    is_over_share: bool = False
+    is_beyond_share: bool = False
     has_run: bool = False
     first_start_ms: float = 0.0
     objective_ms: float = 0.0
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_dominant_shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_dominant_shares.py
@@ -64,7 +64,7 @@
     def in_time(self, name, within_ms, beyond=False):
         """Return the share of an account's jobs that ended in time."""
         jobs = [job for job in self.jobs() if job.account_name == name]
-        jobs = [job for job in jobs if job.is_over_share is beyond]
+        jobs = [job for job in jobs if job.is_beyond_share is beyond]
         ends = [job.ended_ms and job.ended_ms - job.accepted_ms for job in jobs]
         return sum(0 < ms <= within_ms for ms in ends) / len(ends)
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_job_rate_shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_job_rate_shares.py
@@ -78,7 +78,7 @@
     use_accounts(harness, *accounts(5))
     for number in range(12):
         submit(harness, number, "a0")
-    beyond = [job.is_over_share for job in harness.cell.context.jobs.values()]
+    beyond = [job.is_beyond_share for job in harness.cell.context.jobs.values()]
     assert beyond == [False] * 11 + [True]
 
 
@@ -89,7 +89,7 @@
         submit(harness, number, "a0")
     harness.run(1_000)
     submit(harness, 20, "a0")
-    assert not harness.job(f"{20:016x}").is_over_share
+    assert not harness.job(f"{20:016x}").is_beyond_share
 
 
 def test_a_new_owner_judges_the_jobs_that_still_live(make_harness):
@@ -99,7 +99,7 @@
         submit(harness, number, "a0")
     harness.run(50)
     harness.take_over()
-    beyond = [job.is_over_share for job in harness.cell.context.jobs.values()]
+    beyond = [job.is_beyond_share for job in harness.cell.context.jobs.values()]
     assert sum(beyond) == 3
 
 
@@ -109,4 +109,4 @@
     use_accounts(harness, *accounts(*weights))
     for number in range(30):
         submit(harness, number, "a0" if weights else "")
-    assert not any(job.is_over_share for job in harness.cell.context.jobs.values())
+    assert not any(job.is_beyond_share for job in harness.cell.context.jobs.values())
--- a/packages/thymefork-cli/src/thymefork_cli/explain.py
+++ b/packages/thymefork-cli/src/thymefork_cli/explain.py
@@ -5,7 +5,7 @@
 from .log_lines import (
     is_about,
     is_at_limit,
-    is_over_share,
+    is_beyond_share,
     lacks_permission,
     lines_with,
     ms_between,
@@ -169,6 +169,6 @@
         lacks = f"its account {line['account']}, which had all running that it may"
     elif lacks_permission(line):
         lacks = "a permission of its policy"
-    elif is_over_share(line):
+    elif is_beyond_share(line):
         lacks = f"room behind others' shares: {line['account']} was beyond its own"
     return f"{line['step']} waited {line['for_ms']} ms for {lacks}"
--- a/packages/thymefork-cli/src/thymefork_cli/log_lines.py
+++ b/packages/thymefork-cli/src/thymefork_cli/log_lines.py
@@ -7,7 +7,7 @@
 __all__ = [
     "is_about",
     "is_at_limit",
-    "is_over_share",
+    "is_beyond_share",
     "job_of",
     "lacks_permission",
     "lines_with",
@@ -72,6 +72,6 @@
     return bool(wait.get("account")) and wait.get("account_allows") == 0
 
 
-def is_over_share(wait):
+def is_beyond_share(wait):
     """Tell whether a step waited behind the shares of other accounts."""
     return bool(wait.get("beyond_share"))
--- a/packages/thymefork-cli/src/thymefork_cli/losses/cause_rules.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/cause_rules.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from ..log_lines import is_at_limit, is_over_share, lacks_permission, ms_between
+from ..log_lines import is_at_limit, is_beyond_share, lacks_permission, ms_between
 from .cause import Cause
 
 __all__ = ["cause_of_delay", "cause_of_refusal", "cause_of_wait"]
@@ -25,7 +25,7 @@
         return Cause.ACCOUNT_LIMIT
     if lacks_permission(wait):
         return Cause.NO_PERMISSION
-    return Cause.BEYOND_SHARE if is_over_share(wait) else Cause.NO_ROOM
+    return Cause.BEYOND_SHARE if is_beyond_share(wait) else Cause.NO_ROOM
 
 
 def cause_of_delay(job, ended, others):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
@@ -108,7 +108,7 @@
         if effect.lease_ms and self._owner.may_renew_leases():
             deadline_ms = worker.clock_ms(now_ms) + effect.lease_ms
             self._cell.poller.record_lease(worker, effect.lease_ms, now_ms=now_ms)
-        self._client.look(
+        self._client.poll(
             worker=worker,
             wait_ms=effect.wait_ms,
             deadline_clock_ms=deadline_ms,
