--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
@@ -73,7 +73,7 @@
         self._metrics.observe(effect.name, effect.value_ms, kind=effect.kind)
 
     @_execute.register
-    def _ask_advice(self, effect: fx.RequestAdvice):
+    def _request_advice(self, effect: fx.RequestAdvice):
         self._advice_dispatcher.ask(effect)
 
     @_execute.register
@@ -89,9 +89,11 @@
         self._announce_speeds(effect.speeds)
 
     @_execute.register
-    def _move_parts(self, effect: fx.RequestParts | fx.GrantParts | fx.ReportHeldParts):
+    def _exchange_parts(
+        self, effect: fx.RequestParts | fx.GrantParts | fx.ReportHeldParts
+    ):
         self._send_parts(effect)
 
     @_execute.register
-    def _order(self, effect: fx.StartRun | fx.StopRun | fx.PaceRun | fx.PollWorker):
+    def _command(self, effect: fx.StartRun | fx.StopRun | fx.PaceRun | fx.PollWorker):
         self._command_sender.send(effect)
