--- a/packages/thymefork-cli/src/thymefork_cli/main.py
+++ b/packages/thymefork-cli/src/thymefork_cli/main.py
@@ -29,8 +29,8 @@
 
 __all__ = ["app", "main"]
 
-IN_FORCE_S = 5.0
-READ_EVERY_S = 0.1
+APPLY_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.1
 
 app = typer.Typer(add_completion=False, help="Apply whole files and read reports.")
 report = typer.Typer(help="Read what the system reports.")
@@ -116,13 +116,13 @@
 
 def _wait_in_force(client, version):
     """Return the instances that do not have a version in time."""
-    until_s = time.monotonic() + IN_FORCE_S
+    until_s = time.monotonic() + APPLY_TIMEOUT_S
     while True:
         members = client.get("/report").document["members"]
         missing = [m["name"] for m in members if m["config_version"] < version]
         if not missing or time.monotonic() > until_s:
             return missing
-        time.sleep(READ_EVERY_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 def _read(to, path, as_json, show):
--- a/packages/thymefork-net/src/thymefork_net/adaptive_timeout.py
+++ b/packages/thymefork-net/src/thymefork_net/adaptive_timeout.py
@@ -16,23 +16,23 @@
     """
 
     def __init__(self, *, initial_ms, factor, min_ms, max_ms):
-        self._pace_ms = initial_ms
+        self._answer_ms = initial_ms
         self._factor = factor
-        self._shortest_ms = min_ms
-        self._longest_ms = max_ms
-        self._missed_in_row = 0
+        self._min_ms = min_ms
+        self._max_ms = max_ms
+        self._unanswered_in_row = 0
 
-    def record_answer_time(self, took_ms):
+    def record_answer_time(self, elapsed_ms):
         """Note an answer."""
-        self._pace_ms = max(took_ms, DECAY * self._pace_ms)
-        self._missed_in_row = 0
+        self._answer_ms = max(elapsed_ms, DECAY * self._answer_ms)
+        self._unanswered_in_row = 0
 
     def record_unanswered(self):
         """Note a call without an answer."""
-        self._missed_in_row += 1
+        self._unanswered_in_row += 1
 
     @property
     def patience_ms(self):
         """Return how long to wait for the next answer."""
-        usual_ms = max(self._shortest_ms, self._factor * self._pace_ms)
-        return min(self._longest_ms, usual_ms * (1 + self._missed_in_row))
+        base_ms = max(self._min_ms, self._factor * self._answer_ms)
+        return min(self._max_ms, base_ms * (1 + self._unanswered_in_row))
--- a/packages/thymefork-net/src/thymefork_net/http/client_connection.py
+++ b/packages/thymefork-net/src/thymefork_net/http/client_connection.py
@@ -62,13 +62,13 @@
                 self._fail(failure)
                 return
             self._connected = True
-        if self._out and not self._may_begin():
+        if self._out and not self._is_still_wanted():
             self._pool.on_unwanted(self)
             return
         if self._out:
             self._send()
 
-    def _may_begin(self):
+    def _is_still_wanted(self):
         if self._sent_bytes or self.call.still_wanted is None:
             return True
         return self.call.still_wanted()
--- a/packages/thymefork-net/src/thymefork_net/http/pool.py
+++ b/packages/thymefork-net/src/thymefork_net/http/pool.py
@@ -33,8 +33,8 @@
     ):
         self._sockets = sockets
         self._timers = timers
-        self._most_per_address = max_per_address
-        self._distrusts_idle = closes_idle_on_timeout
+        self._max_per_address = max_per_address
+        self._closes_idle_on_timeout = closes_idle_on_timeout
         self._idle = {}
         self._open_counts = {}
         self._waiting = {}
@@ -45,20 +45,20 @@
     def send(self, call):
         """Send a call on an idle connection or a new one, or let it wait."""
         call.began_ms = steady_ms()
-        self._await_deadline(call)
-        self._place(call)
+        self._schedule_expiry(call)
+        self._dispatch(call)
 
-    def _await_deadline(self, call):
+    def _schedule_expiry(self, call):
         call.timer_id = self._timers.at(call.deadline_ms, lambda: self._expire(call))
 
-    def _place(self, call):
+    def _dispatch(self, call):
         """Give a call a connection or let it wait; tell whether it went either way.
 
         One that is unwanted already goes neither: a connection that nothing was sent on
         is as good as before, and an outage would open and close one for each repeat.
         """
         if call.still_wanted is not None and not call.still_wanted():
-            self._end_unwanted(call)
+            self._finish_unwanted(call)
             return False
         idle = self._idle.get(call.address)
         if idle and call.wants_new_connection:
@@ -66,7 +66,7 @@
             self._connect(call)
         elif idle:
             idle.pop().start(call)
-        elif self._open_counts.get(call.address, 0) < self._most_per_address:
+        elif self._open_counts.get(call.address, 0) < self._max_per_address:
             self._connect(call)
         else:
             self._waiting.setdefault(call.address, deque()).append(call)
@@ -82,7 +82,7 @@
             connection.connect()
         except StreamBrokenError as failure:
             self._open_counts[call.address] -= 1
-            self._end(call, HttpAnswer(status=0, sent=False, error=str(failure)))
+            self._finish(call, HttpAnswer(status=0, sent=False, error=str(failure)))
             return
         connection.start(call)
 
@@ -95,8 +95,8 @@
             self._idle.setdefault(connection.address, []).append(connection)
         else:
             self._close(connection)
-        self._next(connection.address)
-        self._end(call, answer)
+        self._dispatch_next(connection.address)
+        self._finish(call, answer)
 
     def on_partial_answer(self, call):
         """Give the rest of a long answer more time, since a part of it has come."""
@@ -108,41 +108,43 @@
         call = connection.call
         connection.call = None
         self._close(connection)
-        self._next(connection.address)
-        self._end_unwanted(call)
+        self._dispatch_next(connection.address)
+        self._finish_unwanted(call)
 
     def on_broken(self, connection, reason, *, sent):
         """Fail the call of a connection that broke."""
         call = connection.call
         connection.call = None
         self._close(connection)
-        self._next(connection.address)
+        self._dispatch_next(connection.address)
         if call is not None:
-            self._end(call, HttpAnswer(status=0, sent=sent, error=reason))
+            self._finish(call, HttpAnswer(status=0, sent=sent, error=reason))
 
     def _expire(self, call):
         if steady_ms() < call.deadline_ms:  # it has moved on
-            self._await_deadline(call)
+            self._schedule_expiry(call)
             return
         waiting = self._waiting.get(call.address)
         if waiting and call in waiting:
             waiting.remove(call)
-            self._end(call, HttpAnswer(status=0, sent=False, error="waited too long"))
+            self._finish(
+                call, HttpAnswer(status=0, sent=False, error="waited too long")
+            )
             return
         if call.connection is not None:
-            if self._distrusts_idle:
-                self._close_unheard(call.address, call.began_ms)
+            if self._closes_idle_on_timeout:
+                self._close_idle_before(call.address, call.began_ms)
             call.connection.on_broken("no answer in time")
 
-    def _close_unheard(self, address, since_ms):
+    def _close_idle_before(self, address, since_ms):
         for connection in list(self._idle.get(address, ())):
             if connection.idle_since_ms < since_ms:
                 self._close(connection)
 
-    def _end_unwanted(self, call):
-        self._end(call, HttpAnswer(status=0, sent=False, error="no longer wanted"))
+    def _finish_unwanted(self, call):
+        self._finish(call, HttpAnswer(status=0, sent=False, error="no longer wanted"))
 
-    def _end(self, call, answer):
+    def _finish(self, call, answer):
         self._timers.cancel(call.timer_id)
         try:
             call.on_answer(answer)
@@ -150,11 +152,11 @@
             line = logger.opt(exception=True).bind(event="answer_handler_failed")
             line.error("{} {} at {}", call.method, call.target, call.address)
 
-    def _next(self, address):
+    def _dispatch_next(self, address):
         """Place the first call that waits and is still wanted."""
         waiting = self._waiting.get(address)
         while waiting:
-            if self._place(waiting.popleft()):
+            if self._dispatch(waiting.popleft()):
                 return
 
     def _close(self, connection):
--- a/packages/thymefork-net/src/thymefork_net/peers/links.py
+++ b/packages/thymefork-net/src/thymefork_net/peers/links.py
@@ -113,7 +113,7 @@
 
     def drop_silent(self, silence_ms):
         """Close the links on which nothing was heard for too long."""
-        oldest_ms = steady_ms() - silence_ms
+        received_after_ms = steady_ms() - silence_ms
         for link in self.all:
-            if link.last_received_ms < oldest_ms:
+            if link.last_received_ms < received_after_ms:
                 link.on_broken(f"silent for {silence_ms:.0f} ms")
--- a/packages/thymefork-net/src/thymefork_net/tests/test_links.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_links.py
@@ -48,20 +48,20 @@
 
 
 def test_messages_go_both_ways_on_one_link(loop, pair):
-    (a, heard_a), (b, heard_b) = pair
+    (a, listener_a), (b, listener_b) = pair
     link = a.open_link(address_of(b))
     link.send(
         Heartbeat(owned=[OwnedCell(cell=1, epoch=7)], config_version=3, leaving=False)
     )
-    loop.run_until(lambda: len(heard_b.messages) == 2)
-    assert isinstance(heard_b.messages[0][1], Hello)
-    incoming = heard_b.messages[1][0]
+    loop.run_until(lambda: len(listener_b.messages) == 2)
+    assert isinstance(listener_b.messages[0][1], Hello)
+    incoming = listener_b.messages[1][0]
     assert incoming.peer.instance == "a"
     assert incoming.listener_address == address_of(a)
     assert link.listener_address == address_of(b)
     incoming.send(Heartbeat(owned=[], config_version=4, leaving=True))
-    loop.run_until(lambda: heard_a.messages)
-    assert heard_a.messages[0][1].leaving
+    loop.run_until(lambda: listener_a.messages)
+    assert listener_a.messages[0][1].leaving
     assert a.open_link(address_of(b)) is link
 
 
@@ -88,11 +88,11 @@
 
 
 def test_a_link_tells_how_much_of_what_was_sent_has_left(loop, pair):
-    (a, _), (b, heard_b) = pair
+    (a, _), (b, listener_b) = pair
     link = a.open_link(address_of(b))
     link.send(Heartbeat(owned=[], config_version=4, leaving=True))
     assert link.sent_bytes > 0 and link.written_bytes == 0
-    loop.run_until(lambda: len(heard_b.messages) == 2)
+    loop.run_until(lambda: len(listener_b.messages) == 2)
     assert link.written_bytes == link.sent_bytes
 
 
