--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
@@ -151,10 +151,10 @@
     gang = {"count": 2, "cpu_milli": 8_000, "gang": True, "estimated_ms": 400}
     harness.submit(LEAVES, job_spec(gang))
     harness.run(2_600)
-    assert harness.cell.placer._reservations._kept
+    assert harness.cell.placer._reservations._by_step
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(6)
-    assert not harness.cell.placer._reservations._kept
+    assert not harness.cell.placer._reservations._by_step
 
 
 def test_live_work_does_not_make_way_beside_room_that_comes_free(make_harness):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -45,7 +45,7 @@
     def __init__(self, *, cell, metrics):
         self._cell = cell
         self._metrics = metrics
-        self._pace = AdaptiveTimeout(
+        self._hedge_timeout = AdaptiveTimeout(
             initial_ms=INITIAL_APPEND_MS,
             factor=HEDGE_FACTOR,
             min_ms=MIN_HEDGE_DELAY_MS,
@@ -61,7 +61,7 @@
     @property
     def patience_ms(self):
         """Return how long to wait before an append is sent once more."""
-        return self._pace.patience_ms
+        return self._hedge_timeout.patience_ms
 
     @staticmethod
     def next_hedge_delay_ms(patience_ms):
@@ -98,7 +98,7 @@
 
         A call that `is_repeat` another may be answered for it, and so too soon.
         """
-        self._pace.record_answer_time(took_ms)
+        self._hedge_timeout.record_answer_time(took_ms)
         was_slow = self._is_slow
         self._is_slow = took_ms > (FAST_THRESHOLD_MS if was_slow else SLOW_THRESHOLD_MS)
         if self._is_slow != was_slow:
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/command_sender.py
@@ -102,7 +102,7 @@
         self._owner.apply_effects()
 
     @send.register
-    def _look(self, effect: fx.PollWorker):
+    def _poll(self, effect: fx.PollWorker):
         worker, now_ms = effect.worker, steady_ms()
         deadline_ms = 0.0
         if effect.lease_ms and self._owner.may_renew_leases():
@@ -117,10 +117,10 @@
             wanted=self._owner.may_renew_leases
             if deadline_ms
             else self._owner.may_poll,
-            done=lambda result: self._on_look(worker, effect, result),
+            done=lambda result: self._on_poll(worker, effect, result),
         )
 
-    def _on_look(self, worker, effect, result):
+    def _on_poll(self, worker, effect, result):
         if not self._still_owned(result.refusal, worker):
             return
         now_ms = steady_ms()
