--- a/packages/thymefork-net/src/thymefork_net/peers/links.py
+++ b/packages/thymefork-net/src/thymefork_net/peers/links.py
@@ -56,9 +56,9 @@
     def responsive_fraction(self, silence_ms):
         """Return the share of the open links that were heard on lately, 0 to 1."""
         links = [link for link in self.all if link.connected]
-        heard_after_ms = steady_ms() - silence_ms
-        heard = sum(link.last_received_ms > heard_after_ms for link in links)
-        return heard / len(links) if links else 0.0
+        cutoff_ms = steady_ms() - silence_ms
+        responsive = sum(link.last_received_ms > cutoff_ms for link in links)
+        return responsive / len(links) if links else 0.0
 
     @property
     def incoming(self):
--- a/packages/thymefork-net/src/thymefork_net/tests/test_http.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_http.py
@@ -238,7 +238,7 @@
         if connection not in self.unresponsive:
             request.answer(200, b"ok")
 
-    def silence(self):
+    def stop_answering(self):
         """Let all connections that are open now go silent for good."""
         self.unresponsive = set(self.connections)
 
@@ -258,7 +258,7 @@
     pool.send(call(address, answers))
     loop.run_until(lambda: len(answers) == 2)
     assert pool.connection_count == 2
-    unresponsive_server.silence()
+    unresponsive_server.stop_answering()
     return pool
 
 
--- a/packages/thymefork-net/src/thymefork_net/tests/test_links.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_links.py
@@ -66,25 +66,25 @@
 
 
 def test_a_refused_link_says_so(loop, pair):
-    (a, heard), _ = pair
+    (a, link_listener), _ = pair
     a.open_link(free_address())
-    loop.run_until(lambda: heard.broken)
-    assert heard.broken[0].was_refused
+    loop.run_until(lambda: link_listener.broken)
+    assert link_listener.broken[0].was_refused
 
 
 def test_bytes_that_are_no_message_close_the_link(loop, pair):
-    (a, heard), _ = pair
+    (a, link_listener), _ = pair
     sock = socket.create_connection((address_of(a).host, address_of(a).port))
     sock.sendall(b"\x00\x00\x00\x04oops")
-    loop.run_until(lambda: heard.broken)
+    loop.run_until(lambda: link_listener.broken)
 
 
 def test_a_silent_link_is_dropped(loop, pair):
-    (a, heard), (b, _) = pair
+    (a, link_listener), (b, _) = pair
     a.open_link(address_of(b))
     loop.run_until(lambda: all(link.connected for link in a.all))
     a.drop_silent(-1.0)
-    assert heard.broken
+    assert link_listener.broken
 
 
 def test_a_link_tells_how_much_of_what_was_sent_has_left(loop, pair):
@@ -97,8 +97,8 @@
 
 
 def test_nothing_has_left_on_a_link_that_was_refused(loop, pair):
-    (a, heard), _ = pair
+    (a, link_listener), _ = pair
     link = a.open_link(free_address())
     link.send(Heartbeat(owned=[], config_version=4, leaving=True))
-    loop.run_until(lambda: heard.broken)
+    loop.run_until(lambda: link_listener.broken)
     assert link.sent_bytes > 0 and link.written_bytes == 0
--- a/packages/thymefork-net/src/thymefork_net/tests/test_steady.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_steady.py
@@ -14,8 +14,8 @@
     now_ms = steady_ms()
     loop.timers.at(now_ms + 30, lambda: fired.append("b"))
     loop.timers.at(now_ms + 10, lambda: fired.append("a"))
-    dropped = loop.timers.at(now_ms + 20, lambda: fired.append("never"))
-    loop.timers.cancel(dropped)
+    cancelled = loop.timers.at(now_ms + 20, lambda: fired.append("never"))
+    loop.timers.cancel(cancelled)
     loop.run_until(lambda: len(fired) == 2)
     assert fired == ["a", "b"]
 
