--- a/packages/thymefork-cli/src/thymefork_cli/__init__.py
+++ b/packages/thymefork-cli/src/thymefork_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line: check, apply and report."""
+"""Command line for operators."""
--- a/packages/thymefork-cli/src/thymefork_cli/checks.py
+++ b/packages/thymefork-cli/src/thymefork_cli/checks.py
@@ -1,4 +1,4 @@
-"""Checks of an operators' file beyond its types."""
+"""Semantic checks of an operators' file."""
 
 from collections import Counter
 
@@ -8,9 +8,9 @@
 
 
 def check_file(file, name):
-    """Check names and references.
+    """Check for duplicate names and undefined references.
 
-    Raises: ConfigError with the file, the field's path and the fix.
+    Raises: ConfigError with the file, the paths of the fields and the fixes.
     """
     problems = [*_duplicates(file), *_references(file)]
     if problems:
@@ -22,7 +22,7 @@
         counts = Counter(item.name for item in getattr(file, path))
         for item, count in counts.items():
             if count > 1:
-                yield f"{item} is named {count} times; keep one @ $.{path}"
+                yield f"{item} is defined {count} times; keep one @ $.{path}"
     kinds = Counter(policy.kind for policy in file.policies)
     for kind, count in kinds.items():
         if count > 1:
@@ -33,9 +33,9 @@
     teams = {team.name for team in file.teams}
     for index, worker in enumerate(file.workers):
         if worker.hall not in file.halls:
-            yield f"{worker.hall} is no hall; add it @ $.workers[{index}].hall"
+            yield f"hall {worker.hall} is not defined; add it @ $.workers[{index}].hall"
     for index, work in enumerate(file.standing):
         if work.hall not in file.halls:
-            yield f"{work.hall} is no hall; add it @ $.standing[{index}].hall"
+            yield f"hall {work.hall} is not defined; add it @ $.standing[{index}].hall"
         if work.team not in teams:
-            yield f"{work.team} is no team; add it @ $.standing[{index}].team"
+            yield f"team {work.team} is not defined; add it @ $.standing[{index}].team"
--- a/packages/thymefork-cli/src/thymefork_cli/client.py
+++ b/packages/thymefork-cli/src/thymefork_cli/client.py
@@ -1,4 +1,4 @@
-"""HTTP towards an entry instance."""
+"""HTTP client of an entry instance."""
 
 import http.client
 from urllib.parse import urlsplit
@@ -13,34 +13,35 @@
 
 @frozen(kw_only=True)
 class Answer:
-    """Hold a status and a JSON document."""
+    """Hold the status and the JSON document of an answer."""
 
     status: int
     document: object
 
 
 class EntryClient:
-    """Send one request at a time to an instance."""
+    """Send requests to an instance, each on a new connection."""
 
     def __init__(self, *, url, timeout_s=10.0):
         parts = urlsplit(url)
         if parts.scheme != "http" or not parts.hostname:
             raise ThymeforkError(
-                f"{url}: give a URL such as http://10.0.0.1:8080", step="connect"
+                f"invalid URL {url}: use one such as http://10.0.0.1:8080",
+                step="connect",
             )
         self._host = parts.hostname
         self._port = parts.port or 80
         self._timeout_s = timeout_s
 
     def get(self, path):
-        """Read a path.
+        """Send a GET request.
 
         Raises: ThymeforkError if the instance does not answer.
         """
         return self._request("GET", path, None)
 
     def post(self, path, body):
-        """Send bytes to a path.
+        """Send a POST request.
 
         Raises: ThymeforkError if the instance does not answer.
         """
@@ -57,7 +58,7 @@
             return Answer(status=answer.status, document=orjson.loads(answer.read()))
         except (OSError, http.client.HTTPException, orjson.JSONDecodeError) as failure:
             raise ThymeforkError(
-                f"no answer: {failure!r}; try another instance",
+                f"no valid answer: {failure!r}; try another instance",
                 step=method.lower(),
                 peer=peer,
             ) from failure
--- a/packages/thymefork-cli/src/thymefork_cli/exit_codes.py
+++ b/packages/thymefork-cli/src/thymefork_cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line; docs/operators/command-line.md lists them."""
+"""Exit codes, documented in docs/operators/command-line.md."""
 
 __all__ = ["CONFLICT", "INVALID_FILE", "NOT_IN_FORCE", "UNKNOWN_SUBJECT", "UNREACHABLE"]
 
--- a/packages/thymefork-cli/src/thymefork_cli/explain.py
+++ b/packages/thymefork-cli/src/thymefork_cli/explain.py
@@ -1,4 +1,4 @@
-"""The story of an id from the saved logs of any number of instances."""
+"""Timeline and outcome of a job, task or run from the saved logs of instances."""
 
 from attrs import field, frozen
 
@@ -13,18 +13,18 @@
 
 __all__ = ["Timeline", "explain_subject"]
 
-# Lines about the whole cell that tell why its jobs had to wait, with what they mean.
+# Events of a whole cell that can delay its jobs, with their descriptions.
 _CELL_EVENTS = {
     "ownership_lost": "the cell lost its owner",
     "ownership_gained": "the cell got a new owner",
-    "store_turns_away": "the store turned appends away",
+    "store_turns_away": "the store rejected appends",
     "store_slow": "the store became slow",
     "store_lost": "an instance lost the store",
-    "worker_silent": "a worker fell silent",
-    "worker_life_changed": "a worker started again under its id",
-    "leases_expired": "the leases on a silent worker ran out",
+    "worker_silent": "a worker stopped answering",
+    "worker_life_changed": "a worker restarted under the same id",
+    "leases_expired": "the leases on an unreachable worker expired",
 }
-# What is left out of a printed line: the same on each, or said by the line itself.
+# Fields that are not printed as key=value.
 _OMITTED_FIELDS = (
     "at",
     "steady_ms",
@@ -39,7 +39,10 @@
 
 @frozen(kw_only=True)
 class Timeline:
-    """Hold the lines about an id in time order, and the cause of its end."""
+    """Hold the log lines about an id in time order, and the cause of its outcome.
+
+    `near` are lines about its cell or workers from the same time.
+    """
 
     subject: str
     lines: tuple[dict, ...]
@@ -47,7 +50,7 @@
     near: tuple[dict, ...] = field(default=())
 
     def document(self):
-        """Return the story as one JSON document."""
+        """Return the timeline as a JSON document."""
         return {
             "subject": self.subject,
             "cause": self.cause,
@@ -56,7 +59,7 @@
         }
 
     def text(self):
-        """Return the timeline, the cause as its last line."""
+        """Return the timeline as text, with the cause as its last line."""
         rows = sorted((*self.lines, *self.near), key=lambda line: line["at"])
         return "\n".join([*map(_format_line, rows), f"cause: {self.cause}"])
 
@@ -69,10 +72,12 @@
 
 
 def explain_subject(subject, lines):
-    """Return the story of a job, task or run."""
+    """Return the timeline of a job, task or run."""
     own_lines = tuple(line for line in lines if is_about(line, subject))
     if not own_lines:
-        cause = "no line names this id: it never reached an instance whose log is here"
+        cause = (
+            "no line names this id: it reached none of the instances with these logs"
+        )
         return Timeline(subject=subject, lines=(), cause=cause)
     first, last = own_lines[0]["at"], own_lines[-1]["at"]
     workers = {line["worker"] for line in own_lines if "worker" in line}
@@ -102,10 +107,10 @@
             [end, *_earlier_refusals(refused, withdrawn), *_delays(own_lines, near)]
         )
     if withdrawn:
-        return "refused: the store did not take it, so nothing was kept"
+        return "refused: the store did not accept it, so nothing was stored"
     if refused:
         line = refused[-1]
-        return f"{line['outcome']}: {line['reason']} when {line['kind']} was asked"
+        return f"{line['outcome']}: {line['reason']} when {line['kind']} was requested"
     refusals = lines_with(own_lines, "request_refused")
     if refusals and not lines_with(own_lines, "job_accepted"):
         line = refusals[-1]
@@ -115,7 +120,7 @@
 
 
 def _describe_end(line):
-    """Return how a job ended, and whether in time by its caller's estimates."""
+    """Return how a job ended, and whether within its estimated objective."""
     end = f"{line['state']} after {line['after_ms']} ms: {line['reason']}"
     objective_ms = line.get("objective_ms", 0)
     if line["state"] != "succeeded" or not objective_ms:
@@ -125,22 +130,22 @@
 
 
 def _earlier_refusals(refused, withdrawn):
-    """Return why tries to hand the job in came to nothing before it was accepted."""
+    """Return why earlier attempts to submit the job were refused."""
     reasons = sorted({line["reason"] for line in (*refused, *withdrawn)})
-    return [f"earlier tries were refused: {', '.join(reasons)}"] if reasons else []
+    return [f"earlier attempts were refused: {', '.join(reasons)}"] if reasons else []
 
 
 def _delays(own_lines, near):
-    """Return what made the job wait, the most telling first."""
+    """Return what delayed the job, the most specific reasons first."""
     found = []
     failed = [line for line in own_lines if line.get("how") == "failed"]
     if failed:
         workers = sorted({line["worker"] for line in failed})
         found.append(f"{len(failed)} runs failed on {', '.join(workers)}")
     for event, words in (
-        ("run_stands_still", "runs stood still"),
-        ("run_moves", "runs moved off a slow worker"),
-        ("runs_lost", "times a worker was lost under it"),
+        ("run_stands_still", "runs stalled"),
+        ("run_moves", "runs were moved off a slow worker"),
+        ("runs_lost", "times a worker with its runs was lost"),
         ("start_refused", "starts were refused"),
     ):
         count = len(lines_with(own_lines, event))
@@ -160,7 +165,7 @@
 
 
 def _longest_step(own_lines, starts):
-    """Return which step took longest from its first start, once the job has ended."""
+    """Return the step that took longest from its first start, if the job has ended."""
     ends = lines_with(own_lines, "job_ended")
     if not ends or not starts:
         return []
@@ -177,11 +182,11 @@
 
 
 def _describe_wait(line):
-    lacks = "room"
+    lacks = "capacity"
     if is_at_limit(line):
-        lacks = f"its account {line['account']}, which had all running that it may"
+        lacks = f"its account {line['account']}, which was at its limit"
     elif lacks_permission(line):
-        lacks = "a permission of its policy"
+        lacks = "permission of its policy"
     elif is_beyond_share(line):
-        lacks = f"room behind others' shares: {line['account']} was beyond its own"
+        lacks = f"capacity: its account {line['account']} was beyond its share"
     return f"{line['step']} waited {line['for_ms']} ms for {lacks}"
--- a/packages/thymefork-cli/src/thymefork_cli/log_lines.py
+++ b/packages/thymefork-cli/src/thymefork_cli/log_lines.py
@@ -1,4 +1,4 @@
-"""Structured lines of saved logs, and what they say."""
+"""Parsing of structured lines in saved logs."""
 
 from datetime import datetime, timedelta
 
@@ -17,7 +17,7 @@
 
 
 def read_lines(paths):
-    """Return the structured lines of log files; other text in front is passed over."""
+    """Return the structured lines of log files, ignoring any text before the JSON."""
     lines = []
     for path in paths:
         with open(path, encoding="utf-8", errors="replace") as file:
@@ -28,30 +28,30 @@
                 try:
                     line = orjson.loads(text[start:])
                 except orjson.JSONDecodeError:
-                    continue  # a line that was cut off tells nothing that can be used
+                    continue  # truncated line
                 if isinstance(line, dict) and "event" in line and "at" in line:
                     lines.append(line)
     return sorted(lines, key=lambda line: line["at"])
 
 
 def lines_with(lines, *events):
-    """Return the lines that tell of one of some events."""
+    """Return the lines with one of the given events."""
     return [line for line in lines if line["event"] in events]
 
 
 def ms_between(first, last):
-    """Return the milliseconds from one line to another by the time of day."""
+    """Return the milliseconds between two lines by their timestamps."""
     began, ended = (datetime.fromisoformat(line["at"]) for line in (first, last))
     return (ended - began) / timedelta(milliseconds=1)
 
 
 def job_of(line):
-    """Return the id of the job that a line is about, or an empty text."""
+    """Return the id of the job that a line is about, empty if none."""
     return line.get("job") or _task_of(line).partition(".")[0]
 
 
 def is_about(line, subject):
-    """Tell whether a line is about a job, task or run."""
+    """Return whether a line is about a job, task or run."""
     if line.get("job") == subject.partition(".")[0]:
         return True
     task = _task_of(line)
@@ -59,7 +59,7 @@
 
 
 def lacks_permission(line):
-    """Tell whether a step that waits lacks its policy's permission rather than room."""
+    """Return whether a step waits for its policy's permission, not for capacity."""
     return not line["with_ticket"]
 
 
@@ -68,10 +68,10 @@
 
 
 def is_at_limit(wait):
-    """Tell whether a step waited since its account had all running that it may."""
+    """Return whether a step waited because its account was at its limit."""
     return bool(wait.get("account")) and wait.get("account_allows") == 0
 
 
 def is_beyond_share(wait):
-    """Tell whether a step waited behind the shares of other accounts."""
+    """Return whether a step waited because its account was beyond its share."""
     return bool(wait.get("beyond_share"))
--- a/packages/thymefork-cli/src/thymefork_cli/losses/__init__.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that were lost or late, by cause, from the saved logs of instances."""
+"""Lost and late requests by cause, from the saved logs of instances."""
 
 from .cause import Cause
 from .find import find_losses
--- a/packages/thymefork-cli/src/thymefork_cli/losses/cause.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/cause.py
@@ -1,4 +1,4 @@
-"""What a request was lost or late for."""
+"""Causes of lost and late requests."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Cause(StrEnum):
-    """Name what a request was lost or late for."""
+    """Enumerate the causes of lost and late requests."""
 
     STORE_AWAY = "the store took nothing"
     NO_OWNER = "its cell's owner was not found"
--- a/packages/thymefork-cli/src/thymefork_cli/losses/cause_rules.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/cause_rules.py
@@ -1,4 +1,4 @@
-"""What the logs say a job was refused, waited or took long for."""
+"""Rules that find the cause of a refusal, wait or delay in the logs."""
 
 from collections import Counter
 
@@ -7,7 +7,7 @@
 
 __all__ = ["cause_of_delay", "cause_of_refusal", "cause_of_wait"]
 
-# A delay below this explains nothing: it is what each start or append takes.
+# Shorter delays are normal for a start or an append.
 MIN_DELAY_MS = 50.0
 
 
@@ -20,7 +20,7 @@
 
 
 def cause_of_wait(wait):
-    """Return what a step lacks by the line that says that it waits."""
+    """Return what a waiting step waits for."""
     if is_at_limit(wait):
         return Cause.ACCOUNT_LIMIT
     if lacks_permission(wait):
@@ -29,9 +29,9 @@
 
 
 def cause_of_delay(job, ended, others):
-    """Return what took the largest part of a late job's time.
+    """Return the cause of the longest delay of a late job.
 
-    `others` are the lines that are about no job.
+    `others` are the lines that are not about a job.
     """
     began_at, ended_at = job.first["at"], ended["at"]
     concurrent_events = {
@@ -54,7 +54,7 @@
 
 
 def _lost_to_runs_ms(job, *ends):
-    """Return the longest time that one task lost to runs with such ends."""
+    """Return the longest time that a task lost to runs with the given ends."""
     lost_ms = Counter()
     for line in job.with_event("run_ended"):
         if line.get("how") in ends:
@@ -63,7 +63,7 @@
 
 
 def _cause_of_late_start(job, concurrent_events):
-    """Return why a start came late, by the events while the job lived."""
+    """Return why a start was late."""
     if "leases_expired" in concurrent_events:
         return Cause.SILENT_WORKER
     wait = job.last("step_waits")
@@ -75,7 +75,7 @@
 
 
 def _cause_from_events(concurrent_events):
-    """Return the cause that events tell which are about no job."""
+    """Return the most likely cause by events that are not about a job."""
     if "ownership_gained" in concurrent_events:
         return Cause.OWNER_REPLACED
     if concurrent_events & {
--- a/packages/thymefork-cli/src/thymefork_cli/losses/find.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/find.py
@@ -1,4 +1,4 @@
-"""Finding the jobs that were lost or late."""
+"""Search for lost and late jobs."""
 
 from ..log_lines import job_of, lines_with, ms_between
 from .cause import Cause
@@ -10,15 +10,14 @@
 
 __all__ = ["find_losses"]
 
-# A job that has not ended this long before the logs do counts as lost; younger ones
-# may still be on their way.
+# Unfinished jobs count as lost if the logs go on for this long after their first line.
 LOST_AFTER_MS = 20_000.0
-# Without these lines of a job it can't be told what became of it.
+# Without these lines the outcome of a job is unknown.
 DECISIVE_EVENTS = {"job_accepted", "job_ended"}
 
 
 def find_losses(lines):
-    """Return what was lost or late in lines that are in time order."""
+    """Return the lost and late jobs in lines that are sorted by time."""
     by_job, others = {}, []
     for line in lines:
         job = job_of(line)
@@ -39,7 +38,7 @@
 
 
 def _last_suppressed_at(others):
-    """Return when decisive lines were left out or dropped last, empty if never."""
+    """Return when decisive lines were last suppressed or dropped, empty if never."""
     return max(
         (
             line["at"]
@@ -51,14 +50,14 @@
 
 
 def _is_unknown(job, suppressed_at):
-    """Tell whether the line with a job's end may have been left out of the logs."""
+    """Return whether the line with a job's end may be missing from the logs."""
     return job.last("job_ended") is None and job.first["at"] <= suppressed_at
 
 
 def _loss_of(job, others, last_line):
-    """Return how a job fell short, None if it did not or was cancelled.
+    """Return the loss of a job, None if it ended in time or was cancelled.
 
-    `others` are the lines that are about no job.
+    `others` are the lines that are not about a job.
     """
     ended = job.last("job_ended")
     if ended is not None and ended["state"] not in ("cancelled", "failed"):
@@ -97,7 +96,7 @@
 
 
 def _cause_if_unfinished(job):
-    """Return what an accepted job without an end waits for, None if it merely lasts."""
+    """Return what an unfinished job waits for, None if its tasks have started."""
     wait = job.last("step_waits")
     if wait is not None:
         return Cause.NOT_ALLOWED if wait.get("allowed") == 0 else cause_of_wait(wait)
--- a/packages/thymefork-cli/src/thymefork_cli/losses/loss.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/loss.py
@@ -1,4 +1,4 @@
-"""One request that fell short."""
+"""A lost or late request."""
 
 from attrs import frozen
 
@@ -10,7 +10,7 @@
 
 @frozen(kw_only=True)
 class Loss:
-    """Hold a request that fell short; `at` is its first line's time of day."""
+    """Hold a lost or late request; `at` is the timestamp of its first line."""
 
     job: str
     queue: str
@@ -19,7 +19,7 @@
     cause: Cause
 
     def document(self):
-        """Return the loss as one JSON object."""
+        """Return the loss as a JSON object."""
         return {
             "job": self.job,
             "queue": self.queue,
--- a/packages/thymefork-cli/src/thymefork_cli/losses/losses.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/losses.py
@@ -1,4 +1,4 @@
-"""All losses of a set of logs, as a table and as JSON."""
+"""The losses in a set of logs, as a table and as JSON."""
 
 from collections import Counter
 
@@ -12,9 +12,9 @@
 
 @frozen(kw_only=True)
 class Losses:
-    """Hold all losses of a set of logs, and how many requests they are among.
+    """Hold the losses in a set of logs and the total number of requests.
 
-    Of `unknown` requests the logs do not tell the end: lines were left out.
+    `unknown` counts the requests whose outcome is missing from the logs.
     """
 
     requests: int
@@ -22,12 +22,12 @@
     items: tuple[Loss, ...] = field(default=())
 
     def counts(self):
-        """Return how many were lost and late by cause and queue, the most first."""
+        """Return the number of losses by cause, queue and outcome, largest first."""
         counts = Counter((item.cause, item.queue, item.outcome) for item in self.items)
         return sorted(counts.items(), key=lambda row: (-row[1], row[0]))
 
     def document(self):
-        """Return the losses as one JSON document."""
+        """Return the losses as a JSON document."""
         rows = [
             {
                 "cause": str(cause),
@@ -46,12 +46,14 @@
         }
 
     def text(self):
-        """Return a table, one line a cause, queue and outcome."""
+        """Return a table with one line for each cause, queue and outcome."""
         lost = sum(item.outcome is Outcome.LOST for item in self.items)
         late = len(self.items) - lost
         lines = [f"{self.requests} requests, {lost} lost, {late} late"]
         if self.unknown:
-            lines.append(f"{self.unknown} unknown: the logs leave out how they ended")
+            lines.append(
+                f"{self.unknown} unknown: their outcome is missing from the logs"
+            )
         for (cause, queue, outcome), count in self.counts():
             lines.append(f"{count:6d} {outcome:4} {queue:14} {cause}")
         return "\n".join(lines)
--- a/packages/thymefork-cli/src/thymefork_cli/losses/outcome.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/outcome.py
@@ -1,4 +1,4 @@
-"""How a request fell short."""
+"""Outcomes of lost and late requests."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(StrEnum):
-    """Name how a request fell short."""
+    """Enumerate the outcomes that count as a loss."""
 
     LOST = "lost"
     LATE = "late"
--- a/packages/thymefork-cli/src/thymefork_cli/losses/plot.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/plot.py
@@ -1,4 +1,4 @@
-"""A plot of losses over time, one colour a cause."""
+"""Plot of losses over time, coloured by cause."""
 
 from collections import Counter
 from datetime import datetime
@@ -11,15 +11,15 @@
 
 
 def plot_losses(losses, path):
-    """Write a stacked bar plot of losses in windows of two seconds.
+    """Write a stacked bar plot of losses in windows of `WINDOW_S`.
 
-    Raises: ThymeforkError where matplotlib is not installed.
+    Raises: ThymeforkError if matplotlib is not installed.
     """
     try:
         from matplotlib.figure import Figure
     except ImportError as failure:
         raise ThymeforkError(
-            "a plot needs matplotlib (the extra `bench`)", step="plot"
+            "plots need matplotlib; install the extra `bench`", step="plot"
         ) from failure
     figure = Figure(figsize=(9, 4))
     axes = figure.add_subplot()
--- a/packages/thymefork-cli/src/thymefork_cli/main.py
+++ b/packages/thymefork-cli/src/thymefork_cli/main.py
@@ -1,4 +1,4 @@
-"""The binary thymefork."""
+"""Entry point of the command `thymefork`."""
 
 import getpass
 import time
@@ -44,7 +44,7 @@
 
 
 def _print(document, as_json, show):
-    """Print a document as JSON, or have `show(document)` print it for people."""
+    """Print a document as JSON, or let `show(document)` print it as text."""
     if as_json:
         typer.echo(orjson.dumps(document).decode())
     else:
@@ -115,7 +115,7 @@
 
 
 def _wait_in_force(client, version):
-    """Return the instances that do not have a version in time."""
+    """Return the instances that do not use a version within the timeout."""
     until_s = time.monotonic() + APPLY_TIMEOUT_S
     while True:
         members = client.get("/report").document["members"]
@@ -148,7 +148,7 @@
     to: ToOption,
     json: JsonOption = False,
 ):
-    """Show where a piece of work is and what it waits for."""
+    """Show the state of a work item and what it waits for."""
     _read(to, f"/report/{work_id}", json, show_work)
 
 
@@ -172,7 +172,7 @@
     ] = None,
     json: JsonOption = False,
 ):
-    """Tell from saved logs what became of an id, or what was lost and late, and why."""
+    """Explain from saved logs how an id ended, or why requests were lost or late."""
     paths = [Path(name) for name in (names if losses else names[1:])]
     try:
         lines = _read_logs(paths)
@@ -180,7 +180,7 @@
             _explain_losses(lines, plot, json)
             return
         if plot is not None:
-            raise ThymeforkError("--plot goes with --losses", step="explain")
+            raise ThymeforkError("--plot requires --losses", step="explain")
     except ThymeforkError as failure:
         _fail(failure, json, INVALID_FILE)
     story = explain_subject(names[0], lines)
@@ -205,7 +205,7 @@
 
 
 def main():
-    """Enter from the command line."""
+    """Run the command line."""
     app()
 
 
--- a/packages/thymefork-cli/src/thymefork_cli/show.py
+++ b/packages/thymefork-cli/src/thymefork_cli/show.py
@@ -1,4 +1,4 @@
-"""Reports as text, by rich."""
+"""Text output of reports."""
 
 from rich.console import Console
 from rich.table import Table
@@ -19,7 +19,7 @@
 
 
 def show_work(document):
-    """Print the story of a piece of work."""
+    """Print a work item and its tasks."""
     for key in ("work_id", "known", "hall", "home", "state", "waits_for"):
         _CONSOLE.print(f"{key}: {document[key]}")
     fields = ("task", "attempts", "settled", "ending", "reason", "worker")
--- a/packages/thymefork-cli/src/thymefork_cli/tests/test_explain.py
+++ b/packages/thymefork-cli/src/thymefork_cli/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of an id from saved logs."""
+"""Timelines from saved logs."""
 
 import orjson
 import pytest
@@ -26,13 +26,13 @@
 )
 
 
-def test_a_job_without_trouble():
+def test_job_without_delays():
     lines = [line(1, "job_accepted", job=JOB), ENDED]
     story = explain_subject(JOB, lines)
     assert story.cause == "succeeded after 8000 ms: every task is done"
 
 
-def test_a_late_job_tells_its_objective_and_its_longest_wait():
+def test_late_job_shows_objective_and_longest_wait():
     ended = {**ENDED, "objective_ms": 2_000}
     start = line(2, "tasks_start", job=JOB, step=f"{JOB}.0.0", waited_ms=900)
     cause = explain_subject(JOB, [line(1, "job_accepted", job=JOB), start, ended]).cause
@@ -40,24 +40,24 @@
     assert cause.endswith("the longest wait for a start was 900 ms")
 
 
-def test_tries_that_were_refused_before_are_named():
+def test_earlier_refused_attempts_are_shown():
     given_up = line(0, "request_given_up", job=JOB, kind="submit", reason="no_owner")
     cause = explain_subject(JOB, [given_up, ENDED]).cause
-    assert "earlier tries were refused: no_owner" in cause
+    assert "earlier attempts were refused: no_owner" in cause
 
 
-def test_a_change_of_owner_is_named():
+def test_change_of_owner_is_shown():
     lines = [line(1, "job_accepted", job=JOB), line(2, "ownership_lost"), ENDED]
     assert "the cell lost its owner" in explain_subject(JOB, lines).cause
 
 
-def test_failing_workers_are_named():
+def test_failed_runs_are_shown_with_their_workers():
     failed = line(3, "run_ended", task=f"{JOB}.0.0.1", how="failed", worker="i-7")
     story = explain_subject(JOB, [line(1, "job_accepted", job=JOB), failed, ENDED])
     assert "1 runs failed on i-7" in story.cause
 
 
-def test_a_refused_request_is_named():
+def test_refused_request_is_shown_with_its_reason():
     given_up = line(
         2,
         "request_given_up",
@@ -67,11 +67,11 @@
         outcome="refused",
     )
     cause = explain_subject(JOB, [given_up]).cause
-    assert cause == "refused: no_owner when submit was asked"
+    assert cause == "refused: no_owner when submit was requested"
 
 
-def test_a_job_whose_tasks_took_long_names_the_step():
-    """5 of 20 drawn late jobs had no cause but waits of 50 ms."""
+def test_late_job_shows_its_longest_step():
+    """A late job must not be explained by a short wait alone."""
     lines = [line(1, "job_accepted", job=JOB)]
     for second, step in ((2, 0), (3, 1)):
         name = f"{JOB}.0.{step}"
@@ -80,7 +80,7 @@
     assert f"{JOB}.0.1 took longest, 6000 ms from its first start" in cause
 
 
-def test_a_request_that_was_only_refused_says_so():
+def test_request_that_was_only_refused_is_explained():
     refused = line(
         2, "request_refused", job=JOB, kind="submit", outcome="refused", after_ms=3
     )
@@ -88,19 +88,19 @@
     assert cause.startswith("refused after 3 ms, 2 times: its cell's owner")
 
 
-def test_a_task_has_a_story_of_its_own():
+def test_task_has_its_own_timeline():
     other = line(2, "run_ended", task=f"{JOB}.0.0.2", how="done")
     own = line(3, "run_ended", task=f"{JOB}.0.0.1", how="done")
     story = explain_subject(f"{JOB}.0.0.1", [other, own])
     assert story.lines == (own,)
 
 
-def test_an_unknown_id_says_so():
+def test_unknown_id_is_reported():
     assert "no line names this id" in explain_subject(JOB, []).cause
 
 
 @pytest.mark.parametrize("as_json", [False, True])
-def test_the_command_reads_files_with_other_text_in_front(tmp_path, as_json):
+def test_command_reads_logs_with_other_text_before_the_json(tmp_path, as_json):
     log = tmp_path / "a.log"
     text = orjson.dumps(ENDED).decode()
     log.write_text(f"   9.1 edge-1 {text}\nnot a line\n{{cut off\n")
--- a/packages/thymefork-cli/src/thymefork_cli/tests/test_losses.py
+++ b/packages/thymefork-cli/src/thymefork_cli/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Losses by cause from saved logs."""
+"""Lost and late requests by cause from saved logs."""
 
 import orjson
 import pytest
@@ -88,7 +88,7 @@
         ([accepted(1), ended(9)], Outcome.LATE, Cause.SLOW_RUNS),
     ],
 )
-def test_each_loss_has_the_cause_that_took_most(lines, outcome, cause):
+def test_loss_is_attributed_to_the_longest_delay(lines, outcome, cause):
     losses = find_losses(lines)
     assert losses.requests == 1
     assert [(item.outcome, item.cause) for item in losses.items] == [(outcome, cause)]
@@ -104,7 +104,7 @@
         [line(1, "request_refused", job=JOB, kind="read")],
     ],
 )
-def test_what_did_not_fall_short_is_not_listed(lines):
+def test_jobs_without_a_loss_are_not_listed(lines):
     assert not find_losses(lines).items
 
 
@@ -116,20 +116,20 @@
     return file
 
 
-def test_the_command_line_prints_a_table(log):
+def test_command_prints_a_table(log):
     result = CliRunner().invoke(app, ["explain", "--losses", str(log)])
     assert result.exit_code == 0
     assert "1 requests, 0 lost, 1 late" in result.output
     assert "runs of it failed" in result.output
 
 
-def test_the_command_line_prints_json(log):
+def test_command_prints_json(log):
     result = CliRunner().invoke(app, ["explain", "--losses", str(log), "--json"])
     document = orjson.loads(result.output)
     assert document["by_cause"][0]["cause"] == "runs of it failed"
 
 
-def test_the_command_line_draws_a_plot(log, tmp_path):
+def test_command_draws_a_plot(log, tmp_path):
     plot = tmp_path / "losses.png"
     arguments = ["explain", "--losses", str(log), "--plot", str(plot)]
     result = CliRunner().invoke(app, arguments)
@@ -137,7 +137,7 @@
     assert plot.read_bytes().startswith(b"\x89PNG")
 
 
-def test_a_log_that_is_not_there_is_a_clear_error(tmp_path):
+def test_missing_log_file_is_reported(tmp_path):
     result = CliRunner().invoke(app, ["explain", "--losses", str(tmp_path / "none")])
     assert result.exit_code == 2
     assert "No such file" in result.output
@@ -149,8 +149,8 @@
 
 
 @pytest.mark.parametrize("left_out", [SUPPRESSED, DROPPED])
-def test_a_request_whose_end_was_left_out_is_unknown_rather_than_lost(left_out):
-    """From cab-bogota-large, quiet-1: 83 told as lost where callers had lost none."""
+def test_request_with_a_suppressed_end_is_unknown_not_lost(left_out):
+    """Suppressed log lines must not be reported as losses."""
     submit = line(1, "request_refused", job=JOB, kind="submit", outcome="refused")
     losses = find_losses([submit, left_out, line(40, "stopped")])
     assert (losses.requests, losses.unknown, losses.items) == (1, 1, ())
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("other", [OTHERS_SUPPRESSED, line(0, "stopped"), SUPPRESSED])
-def test_a_refusal_after_all_that_was_left_out_is_a_loss(other):
+def test_refusal_after_all_suppressed_lines_is_a_loss(other):
     losses = find_losses([other, refused(5, "no_owner"), line(40, "stopped")])
     assert losses.unknown == 0
     assert [item.cause for item in losses.items] == [Cause.NO_OWNER]
--- a/packages/thymefork-net/peers.thrift
+++ b/packages/thymefork-net/peers.thrift
@@ -1,4 +1,4 @@
-/* Messages between the instances of one system. */
+/* Messages between instances. */
 namespace py thymefork_net.peers.gen
 
 struct Hello {
@@ -13,13 +13,13 @@
   2: required i64 epoch
 }
 
-/* How slow a machine under a worker is: thousandths of a natural logarithm. */
+/* Slowness of a worker's machine, in thousandths of its natural logarithm. */
 struct MachineSpeed {
   1: required string machine
   2: required i32 log_slowness_milli
 }
 
-/* What the owner of a cell has learned of its machines since it told last. */
+/* Machine speeds that a cell's owner has learned since its last announcement. */
 struct SpeedsLearned {
   1: required i32 cell
   2: required i64 epoch
@@ -30,28 +30,28 @@
   1: required list<OwnedCell> owned
   2: required i64 config_version
   3: required bool leaving
-  /* The sender takes part in the store's group, so it may be dealt cells. */
+  /* The sender is a member of the store's group, so it may be assigned cells. */
   4: optional bool in_group
-  /* The sender's joins are not answered: its cells should pass to another. */
+  /* The sender's joins get no answer: other members should take over its cells. */
   5: optional bool store_lost
-  /* How well the sender can own cells, 1 to 3; missing where it knows no tiers. */
+  /* How suitable the sender is as an owner, 1 to 3; missing if it knows no tiers. */
   6: optional i32 tier
-  /* The sender's load as an owner, in percent of what is bearable. */
+  /* The sender's load as an owner, in percent of the acceptable load. */
   7: optional i32 load_percent
-  /* The best tier among the members that the sender has heard to be well. */
+  /* The best tier among the members that the sender knows to be healthy. */
   8: optional i32 best_tier
-  /* How long the sender's last join took; 0 or missing from who is no member. */
+  /* Duration of the sender's last join; 0 or missing if it is not a member. */
   9: optional i32 join_ms
-  /* For the next owners. Part of a message that older instances know, since they break
-     a link on one that they don't. */
+  /* For the next owners. A field of the heartbeat, since older instances close a link
+     on unknown messages. */
   16: optional list<SpeedsLearned> speeds
-  /* The sender understands messages on parts of limits. */
+  /* The sender supports the messages on limit parts. */
   10: optional bool moves_parts
-  /* Numbers of the sender's calls for advice that it does not want answered. */
+  /* Ids of the sender's advice requests that it has withdrawn. */
   24: optional list<i64> withdrawn_calls
 }
 
-/* A caller's request that an entry instance forwards to the owner of a cell. */
+/* A caller's request, forwarded by an entry instance to the owner of a cell. */
 struct CallerRequest {
   1: required i64 call_id
   2: required i32 cell
@@ -59,9 +59,9 @@
   4: required string queue
   5: required string job_id
   6: required binary body
-  /* The client account whose key came with it, empty if none did. */
+  /* The client account of the request's API key, empty without a key. */
   7: optional string account_name
-  /* How long the sender waits for the reply; 0 or missing where it does not tell. */
+  /* How long the sender waits for the reply; 0 or missing if unknown. */
   8: optional i64 patience_ms
 }
 
@@ -73,7 +73,7 @@
   5: required i64 retry_after_ms
 }
 
-/* A call to the advice service that an owner asks another instance to make. */
+/* A call to the advice service that an owner delegates to another instance. */
 struct AdviceRequest {
   1: required i64 call_id
   2: required string step
@@ -93,7 +93,7 @@
   4: required i64 valid_ms
 }
 
-/* An end that a worker has listed to its owner. */
+/* A run end that a worker has reported to its owner. */
 struct HeardEnd {
   1: required string worker_id
   2: required string task
@@ -102,36 +102,36 @@
   5: required string checkpoint
 }
 
-/* Ends that the owner of a cell has heard and could not store so far. */
+/* Run ends that the owner of a cell has received but not stored yet. */
 struct EndsHeard {
   1: required i32 cell
-  /* The epoch of the owner that heard them. */
+  /* The epoch of the owner that received them. */
   2: required i64 epoch
   3: required list<HeardEnd> ends
 }
 
-/* Parts of a client account's limit, of each kind of room that it bounds. */
+/* Parts of a client account's limit, for each limited resource. */
 struct PartsRow {
   1: required i64 cpu
   2: required i64 memory
   3: required i64 accelerators
 }
 
-/* The owner of a cell asks that of another to lend parts of a limit. */
+/* A request to the owner of another cell to lend parts of a limit. */
 struct PartsAsk {
   1: required string account
   2: required i32 borrower
   3: required i64 borrower_epoch
   4: required i32 lender
-  /* What lets its first step begin, and what all its work wants. */
+  /* The parts that its first step needs, and those that all its work needs. */
   5: required PartsRow least
   6: required PartsRow most
-  /* Since when that step waits; 0 where more runs than the borrower has parts for. */
+  /* Since when that step waits; 0 if the runs use more than the borrower's parts. */
   7: required i64 since_epoch_ms
   8: required bool is_within
 }
 
-/* All that is lent to a cell; a number of 0 grants nothing and tells what is free. */
+/* All parts that are lent to a cell; with number 0, only reports what is free. */
 struct PartsGrant {
   1: required string account
   2: required i32 lender
@@ -143,7 +143,7 @@
   8: required PartsRow free
 }
 
-/* What a borrower still counts on, of the grant of that epoch and number. */
+/* The parts that a borrower still holds of the grant with that epoch and number. */
 struct PartsHold {
   1: required string account
   2: required i32 borrower
--- a/packages/thymefork-net/src/thymefork_net/__init__.py
+++ b/packages/thymefork-net/src/thymefork_net/__init__.py
@@ -1,4 +1,4 @@
-"""The event loop's parts: steady timers, HTTP both ways, links between instances."""
+"""Networking on the event loop: timers, an HTTP client and server, and peer links."""
 
 from .adaptive_timeout import AdaptiveTimeout
 from .address import Address
--- a/packages/thymefork-net/src/thymefork_net/adaptive_timeout.py
+++ b/packages/thymefork-net/src/thymefork_net/adaptive_timeout.py
@@ -1,17 +1,16 @@
-"""How long to wait for an answer, by how long answers take."""
+"""A timeout that adapts to how long recent answers took."""
 
 __all__ = ["AdaptiveTimeout"]
 
-# The pace follows a slower answer at once and forgets it by this factor an answer, so
-# that one slow answer is forgotten after some twenty.
+# Factor by which each further answer lets the estimated answer time decay.
 DECAY = 0.9
 
 
 class AdaptiveTimeout:
-    """Follow the times of answers; tell when a call counts as unanswered.
+    """Estimate how long to wait for an answer from the time that recent ones took.
 
-    While calls go unanswered one after the other, the patience grows with each, so
-    that a network which has turned slow is not mistaken for silence for good.
+    The timeout grows with each consecutive unanswered call, so that a network that
+    has become slow does not keep timing out.
     Units: milliseconds.
     """
 
@@ -23,12 +22,12 @@
         self._unanswered_in_row = 0
 
     def record_answer_time(self, elapsed_ms):
-        """Note an answer."""
+        """Record an answer; a slower one raises the estimate at once."""
         self._answer_ms = max(elapsed_ms, DECAY * self._answer_ms)
         self._unanswered_in_row = 0
 
     def record_unanswered(self):
-        """Note a call without an answer."""
+        """Record a call that got no answer in time."""
         self._unanswered_in_row += 1
 
     @property
--- a/packages/thymefork-net/src/thymefork_net/address.py
+++ b/packages/thymefork-net/src/thymefork_net/address.py
@@ -1,4 +1,4 @@
-"""The place of a TCP listener."""
+"""The address of a TCP listener."""
 
 from attrs import frozen
 
@@ -7,20 +7,20 @@
 
 @frozen(kw_only=True)
 class Address:
-    """Hold an IP number and a port."""
+    """Hold the IP address and port of a TCP listener."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text):
-        """Read HOST:PORT.
+        """Parse HOST:PORT.
 
-        Raises: ValueError if the text has no port.
+        Raises: ValueError if the port is missing or not a number.
         """
         host, _, port = text.rpartition(":")
         return cls(host=host, port=int(port))
 
     def __str__(self):
-        """Write HOST:PORT."""
+        """Format as HOST:PORT."""
         return f"{self.host}:{self.port}"
--- a/packages/thymefork-net/src/thymefork_net/frames.py
+++ b/packages/thymefork-net/src/thymefork_net/frames.py
@@ -10,12 +10,12 @@
 
 
 def frame(data):
-    """Put the length in front of a message."""
+    """Return a message prefixed with its length."""
     return _LENGTH.pack(len(data)) + data
 
 
 class FrameReader:
-    """Collect bytes until whole messages are there."""
+    """Split a byte stream into length-prefixed messages."""
 
     def __init__(self, *, limit_bytes, peer=""):
         self._limit_bytes = limit_bytes
@@ -23,16 +23,16 @@
         self._buffer = bytearray()
 
     def feed(self, data):
-        """Return the messages that are complete now.
+        """Add received bytes and return the messages that they complete.
 
-        Raises: ProtocolError if a length is over the limit.
+        Raises: ProtocolError if a message is longer than the limit.
         """
         self._buffer += data
         messages = []
         while len(self._buffer) >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer)
             if length > self._limit_bytes:
-                message = f"message of {length} bytes is over {self._limit_bytes}"
+                message = f"message of {length} bytes exceeds {self._limit_bytes} bytes"
                 raise ProtocolError(message, step="frame", peer=self._peer)
             end = _LENGTH.size + length
             if len(self._buffer) < end:
--- a/packages/thymefork-net/src/thymefork_net/http/__init__.py
+++ b/packages/thymefork-net/src/thymefork_net/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: a pool of outgoing connections and a server for incoming ones."""
+"""HTTP/1.1 client connection pool and server."""
 
 from .answer import HttpAnswer
 from .call import HttpCall
--- a/packages/thymefork-net/src/thymefork_net/http/answer.py
+++ b/packages/thymefork-net/src/thymefork_net/http/answer.py
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class HttpAnswer:
-    """Hold a status and a body; status 0 with the reason where no answer came.
+    """Hold the status and body of an answer, or status 0 and an error if none came.
 
     `sent` is false only if no byte of the request left this process.
     """
@@ -19,5 +19,5 @@
 
     @property
     def answered(self):
-        """Tell whether the peer answered at all."""
+        """Return whether the peer answered."""
         return self.status != 0
--- a/packages/thymefork-net/src/thymefork_net/http/call.py
+++ b/packages/thymefork-net/src/thymefork_net/http/call.py
@@ -1,4 +1,4 @@
-"""One outgoing request."""
+"""An outgoing HTTP request."""
 
 from collections.abc import Callable
 
@@ -11,16 +11,15 @@
 
 @define(kw_only=True, eq=False)
 class HttpCall:
-    """Hold a request and what takes its outcome.
-
-    Units: `deadline_ms` and `max_deadline_ms` are on the steady clock. A call that sets
-    `max_deadline_ms` may have a long answer: while parts of it come, its deadline moves on up
-    to that moment. `still_wanted` is asked right before
-    the first byte leaves; the call fails unsent where it returns false. A call that
-    `wants_new_connection` repeats one that is unanswered: others may be as silent.
-    A call with a `first_body` sends that in place of its body as the first call on a
-    connection, whose peer may have started again since the last one was answered;
-    `is_first` tells which was sent.
+    """Hold a request, its deadline and the callback for its outcome.
+
+    While parts of a long answer arrive, the deadline is extended up to
+    `max_deadline_ms`, if that is set. `still_wanted` is called right before the first
+    byte is sent; if it returns false, the call fails unsent. `wants_new_connection` is
+    for retries: the idle connections may be unresponsive too. `first_body` replaces
+    `body` in the first call on a connection, since the peer may have restarted;
+    `is_first` says which of the two was sent.
+    Units: `deadline_ms` and `max_deadline_ms` are on the steady clock.
     """
 
     address: Address
@@ -40,7 +39,7 @@
     connection: object = None
 
     def encode(self):
-        """Return the bytes of the request."""
+        """Return the request as bytes."""
         lines = [f"{self.method} {self.target} HTTP/1.1", f"Host: {self.address.host}"]
         lines += [f"{name}: {value}" for name, value in self.headers]
         body = self._body_to_send()
--- a/packages/thymefork-net/src/thymefork_net/http/client_connection.py
+++ b/packages/thymefork-net/src/thymefork_net/http/client_connection.py
@@ -1,4 +1,4 @@
-"""One outgoing connection that carries one call at a time."""
+"""An outgoing HTTP connection that carries one call at a time."""
 
 import httptools
 
@@ -10,7 +10,7 @@
 
 
 class ClientConnection(StreamConnection):
-    """Own one socket; tell the pool about each call's end."""
+    """Own a socket and report the outcome of each call to the pool."""
 
     def __init__(self, *, sockets, address, pool):
         self.address = address
@@ -29,18 +29,18 @@
         self._sock = None
 
     def connect(self):
-        """Begin to connect.
+        """Start to connect.
 
-        A call that a cut holds up must not arrive after it was given up, or after
-        this process has ended: a dead member would join its group again.
-        Raises: StreamBrokenError if that fails at once.
+        The connection is reset on close, so that a call that was delayed by the network
+        is not delivered after it timed out or this process ended.
+        Raises: StreamBrokenError if connecting fails at once.
         """
         self._sock = open_stream(self.address)
         reset_on_close(self._sock)
         self._sockets.add(self._sock, self)
 
     def start(self, call):
-        """Carry a call."""
+        """Send a call on this connection."""
         self.call = call
         call.connection = self
         call.is_first = not self._has_answered
@@ -55,7 +55,7 @@
             self._sockets.watch_writes(self._sock, True)
 
     def on_writable(self):
-        """Finish the connect and send what the socket takes."""
+        """Complete the connect and send as much as the socket accepts."""
         if not self._connected:
             failure = connect_failure(self._sock)
             if failure is not None:
@@ -82,18 +82,18 @@
         self._sockets.watch_writes(self._sock, bool(self._out))
 
     def on_readable(self):
-        """Read what came and finish the call once its answer is whole."""
+        """Read from the socket and complete the call once its answer has arrived."""
         data = self._receive()
         if data is None:
             return
         if self.call is None:
-            self.on_broken("an answer without a call")
+            self.on_broken("received data while no call was open")
             return
         self._pool.received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as failure:
-            self.on_broken(f"not HTTP: {failure}")
+            self.on_broken(f"invalid HTTP: {failure}")
             return
         if self._complete:
             self._finish()
@@ -108,22 +108,22 @@
         self._pool.on_complete(self, answer, self._keep_alive)
 
     def on_body(self, data):
-        """Take a part of the answer's body."""
+        """Collect a part of the answer's body."""
         self._body.append(data)
 
     def on_message_complete(self):
-        """Note that the answer is whole."""
+        """Mark the answer as complete."""
         self._complete = True
-        # The parser forgets this once it expects the next message.
+        # The parser resets this before the next message.
         self._keep_alive = self._parser.should_keep_alive()
 
     def on_broken(self, reason):
-        """Fail the call, if any, since the connection is gone."""
+        """Fail the current call, if any, after the connection broke."""
         self._pool.on_broken(self, reason, sent=self._sent_bytes > 0)
 
     @property
     def sent_bytes(self):
-        """Return how much of the current call has left."""
+        """Return how many bytes of the current call were sent."""
         return self._sent_bytes
 
     def close(self):
--- a/packages/thymefork-net/src/thymefork_net/http/incoming.py
+++ b/packages/thymefork-net/src/thymefork_net/http/incoming.py
@@ -1,4 +1,4 @@
-"""One request of a caller, and its answer."""
+"""An incoming HTTP request and its answer."""
 
 from attrs import define, field
 
@@ -7,7 +7,7 @@
 
 @define(kw_only=True, eq=False)
 class IncomingRequest:
-    """Hold a request as it was read; answer it once.
+    """Hold a parsed request and send its answer.
 
     Units: `arrived_ms` is on the steady clock.
     """
@@ -24,7 +24,7 @@
     output: bytes = field(default=b"")
 
     def answer(self, status, body=b"", *, headers=(), content_type="application/json"):
-        """Send the answer; a second one is passed over."""
+        """Send the answer; ignore any further one."""
         if self.answered:
             return
         self.answered = True
--- a/packages/thymefork-net/src/thymefork_net/http/pool.py
+++ b/packages/thymefork-net/src/thymefork_net/http/pool.py
@@ -1,4 +1,4 @@
-"""All outgoing HTTP connections for one purpose, one call at a time on each."""
+"""A pool of outgoing HTTP connections that carry one call at a time each."""
 
 from collections import deque
 
@@ -11,21 +11,20 @@
 
 __all__ = ["HttpPool"]
 
-# A server closes idle connections after 15 s by default; stay below that.
+# Below the 15 s after which servers close idle connections by default.
 IDLE_TIMEOUT_MS = 10_000.0
-# A long answer that comes in parts is given up once none has come for this long: a
-# call's usual time-out. Bounded as a whole instead, a page of records that takes longer
-# over a thin link was given up, asked for anew, and so on without an end.
+# Timeout between two parts of a long answer. A timeout for the whole answer would fail
+# each retry too on a link that is too slow for it.
 PART_TIMEOUT_MS = 1_000.0
 
 
 class HttpPool:
-    """Reuse idle connections; close any whose call has timed out.
+    """Reuse idle connections; close those whose call has timed out.
 
-    Open connections may go silent for good, all at once and without a reset, while new
-    ones work. A pool that `closes_idle_on_timeout` ones closes, with a call that got no answer,
-    the idle connections to the same address that were not heard since. A pool of two or
-    three an address loses as many calls at most, and saves connects after single ones.
+    Open connections may all stop responding without a reset while new ones work. With
+    `closes_idle_on_timeout`, a call that times out also closes the idle connections to
+    its address that have received nothing since the call was made. Pools with only a
+    few connections for each address do without this.
     """
 
     def __init__(
@@ -43,7 +42,7 @@
         timers.every(IDLE_TIMEOUT_MS / 2, self._close_idle)
 
     def send(self, call):
-        """Send a call on an idle connection or a new one, or let it wait."""
+        """Send a call on an idle or a new connection, or queue it."""
         call.began_ms = steady_ms()
         self._schedule_expiry(call)
         self._dispatch(call)
@@ -52,10 +51,10 @@
         call.timer_id = self._timers.at(call.deadline_ms, lambda: self._expire(call))
 
     def _dispatch(self, call):
-        """Give a call a connection or let it wait; tell whether it went either way.
+        """Send or queue a call; return false if it is no longer wanted.
 
-        One that is unwanted already goes neither: a connection that nothing was sent on
-        is as good as before, and an outage would open and close one for each repeat.
+        An unwanted call takes no connection: in an outage, one would otherwise be
+        opened and closed for each retry.
         """
         if call.still_wanted is not None and not call.still_wanted():
             self._finish_unwanted(call)
@@ -87,7 +86,7 @@
         connection.start(call)
 
     def on_complete(self, connection, answer, keep_alive):
-        """Hand an answer on and reuse the connection."""
+        """Deliver an answer and make the connection available again."""
         call = connection.call
         connection.call = None
         connection.idle_since_ms = steady_ms()
@@ -99,12 +98,12 @@
         self._finish(call, answer)
 
     def on_partial_answer(self, call):
-        """Give the rest of a long answer more time, since a part of it has come."""
+        """Extend the deadline of a long answer after a part of it arrived."""
         if call.max_deadline_ms:
             call.deadline_ms = min(call.max_deadline_ms, steady_ms() + PART_TIMEOUT_MS)
 
     def on_unwanted(self, connection):
-        """Drop a call that became unwanted while its connection came about."""
+        """Drop a call that became unwanted while its connection was established."""
         call = connection.call
         connection.call = None
         self._close(connection)
@@ -112,7 +111,7 @@
         self._finish_unwanted(call)
 
     def on_broken(self, connection, reason, *, sent):
-        """Fail the call of a connection that broke."""
+        """Fail the current call of a broken connection."""
         call = connection.call
         connection.call = None
         self._close(connection)
@@ -121,20 +120,20 @@
             self._finish(call, HttpAnswer(status=0, sent=sent, error=reason))
 
     def _expire(self, call):
-        if steady_ms() < call.deadline_ms:  # it has moved on
+        if steady_ms() < call.deadline_ms:  # the deadline was extended
             self._schedule_expiry(call)
             return
         waiting = self._waiting.get(call.address)
         if waiting and call in waiting:
             waiting.remove(call)
             self._finish(
-                call, HttpAnswer(status=0, sent=False, error="waited too long")
+                call, HttpAnswer(status=0, sent=False, error="timed out while queued")
             )
             return
         if call.connection is not None:
             if self._closes_idle_on_timeout:
                 self._close_idle_before(call.address, call.began_ms)
-            call.connection.on_broken("no answer in time")
+            call.connection.on_broken("timed out waiting for the answer")
 
     def _close_idle_before(self, address, since_ms):
         for connection in list(self._idle.get(address, ())):
@@ -153,7 +152,7 @@
             line.error("{} {} at {}", call.method, call.target, call.address)
 
     def _dispatch_next(self, address):
-        """Place the first call that waits and is still wanted."""
+        """Send the first queued call that is still wanted."""
         waiting = self._waiting.get(address)
         while waiting:
             if self._dispatch(waiting.popleft()):
--- a/packages/thymefork-net/src/thymefork_net/http/server.py
+++ b/packages/thymefork-net/src/thymefork_net/http/server.py
@@ -1,4 +1,4 @@
-"""A listener for HTTP/1.1."""
+"""An HTTP/1.1 server."""
 
 from loguru import logger
 
@@ -10,12 +10,12 @@
 __all__ = ["HttpServer"]
 
 BACKLOG = 512
-# Connections are looked over for time-outs this often.
+# Interval between checks of all connections for timeouts.
 SWEEP_MS = 500.0
 
 
 class HttpServer:
-    """Accept connections at one address and hand their requests on."""
+    """Accept connections at an address and pass their requests to a handler."""
 
     def __init__(self, *, sockets, timers, address, on_request, on_refused=None):
         self.sockets = sockets
@@ -30,16 +30,16 @@
 
     @property
     def open_requests(self):
-        """Return how many requests wait for their answers."""
+        """Return the number of requests that are not fully answered."""
         return sum(connection.open_requests for connection in self._connections)
 
     @property
     def open_connections(self):
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self._connections)
 
     def on_readable(self):
-        """Accept what waits."""
+        """Accept pending connections."""
         for sock in accept_all(self._listener):
             connection = ServerConnection(sock=sock, server=self)
             connection.closing = self._closing
@@ -47,33 +47,33 @@
             self.sockets.add(sock, connection)
 
     def on_writable(self):
-        """Pass over: a listener has nothing to write."""
+        """Do nothing: a listener has nothing to write."""
 
     def on_broken(self, reason):
-        """Log that the listener failed."""
-        logger.bind(event="listener_failed").error("listener: {}", reason)
+        """Log a failure of the listener."""
+        logger.bind(event="listener_failed").error("HTTP listener failed: {}", reason)
 
     def on_request(self, request):
-        """Hand a whole request on; an error in its handler is answered 500."""
+        """Pass a complete request to the handler; answer 502 if the handler raises."""
         try:
             self._on_request(request)
         except Exception:
             line = logger.opt(exception=True).bind(event="request_failed")
-            line.error("{} {}", request.method, request.path)
+            line.error("request handler failed for {} {}", request.method, request.path)
             request.answer(502)
 
     def refuse(self, request, status):
-        """Answer a request that breaks the limits."""
+        """Refuse a request that is invalid or exceeds a limit."""
         if self._on_refused is not None:
             self._on_refused(status)
         request.answer(status)
 
     def forget(self, connection):
-        """Drop a connection that was closed."""
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
     def drain(self):
-        """Close each connection after the answer that is due on it."""
+        """Close each connection once its pending answers are sent."""
         self._closing = True
         for connection in list(self._connections):
             connection.close_when_answered()
@@ -87,4 +87,4 @@
             elif connection.is_idle and (
                 now_ms - connection.last_active_ms > self.limits.idle_timeout_ms
             ):
-                connection.on_broken("idle")
+                connection.on_broken("idle timeout")
--- a/packages/thymefork-net/src/thymefork_net/http/server_connection.py
+++ b/packages/thymefork-net/src/thymefork_net/http/server_connection.py
@@ -1,4 +1,4 @@
-"""One incoming connection; requests are answered in the order they came."""
+"""An incoming connection; requests are answered in the order of their arrival."""
 
 from collections import deque
 from urllib.parse import unquote
@@ -15,7 +15,7 @@
 
 
 class ServerConnection(StreamConnection):
-    """Own one accepted socket."""
+    """Read requests from an accepted socket and write their answers."""
 
     def __init__(self, *, sock, server):
         self.closing = False
@@ -41,22 +41,22 @@
 
     @property
     def is_idle(self):
-        """Tell whether no request is being read or answered."""
+        """Return whether no request is being read or answered."""
         return not self._pending and not self._out and not self.request_began_ms
 
     @property
     def open_requests(self):
-        """Return how many requests wait for their answers, or for the last byte.
+        """Return the number of requests that are not fully answered.
 
-        A process that stops ends once none is open, and what its socket has not taken
-        by then is lost.
+        A request counts until the socket has accepted its whole answer, since the
+        process may exit once none is open.
         """
         return len(self._pending) + bool(self._out)
 
     # Reading -----------------------------------------------------------------
 
     def on_readable(self):
-        """Read what came and hand whole requests on."""
+        """Read from the socket and pass on complete requests."""
         data = self._receive()
         if data is None:
             return
@@ -69,17 +69,17 @@
             self._refuse(400)
 
     def on_message_begin(self):
-        """Begin a request."""
+        """Start a new request."""
         self._reset_request()
         self.request_began_ms = steady_ms()
 
     def on_url(self, url):
-        """Take a part of the target."""
+        """Collect a part of the request target."""
         self._url += url
         self._count_header(len(url))
 
     def on_header(self, name, value):
-        """Take one header; several of one name are one list, as HTTP has it."""
+        """Store a header; join the values of repeated ones to a list."""
         self._count_header(len(name) + len(value) + 4)
         name, value = name.decode("latin-1").lower(), value.decode("latin-1")
         if name in self._headers:
@@ -92,7 +92,7 @@
             self._refuse(431)
 
     def on_headers_complete(self):
-        """Check the head; a body that is too large is answered at once."""
+        """Check the head; refuse a body that is declared too large."""
         if self._refused:
             return
         self._current = self._make_request()
@@ -121,7 +121,7 @@
         self._server.refuse(self._current, 413)
 
     def on_body(self, data):
-        """Take a part of the body; the rest of a refused one is dropped."""
+        """Collect a part of the body; discard the rest of a refused one."""
         self._body_bytes += len(data)
         if self._refused:
             return
@@ -131,7 +131,7 @@
         self._body.append(data)
 
     def on_message_complete(self):
-        """Hand the request on."""
+        """Pass the complete request to the server."""
         self.request_began_ms = 0.0
         if self._refused or self._current is None:
             return
@@ -139,7 +139,7 @@
         self._server.on_request(self._current)
 
     def _refuse(self, status):
-        """Answer a request that can't be read, and close."""
+        """Refuse a request that can't be parsed or is too slow, and close."""
         self._refused = True
         self._close_after_output = True
         self.closing = True
@@ -160,13 +160,13 @@
         return request
 
     def time_out(self):
-        """Answer 408 to a request whose head or body does not arrive."""
+        """Answer 408 to a request that does not arrive completely in time."""
         self._refuse(408)
 
     # Answering ---------------------------------------------------------------
 
     def on_answered(self, request):
-        """Send the answers that are next in turn."""
+        """Send all answers that no earlier unanswered request holds back."""
         while self._pending and self._pending[0].answered:
             first = self._pending.popleft()
             if not first.keep_alive:
@@ -180,7 +180,7 @@
         self.on_writable()
 
     def on_writable(self):
-        """Send what the socket takes."""
+        """Send as much as the socket accepts."""
         if self._out:
             count = self._send_some(self._out)
             if count is None:
@@ -188,18 +188,18 @@
             del self._out[:count]
             self.last_active_ms = steady_ms()
         if not self._out and self._close_after_output and not self._pending:
-            self.on_broken("closed after the answer")
+            self.on_broken("closed after the last answer")
             return
         self._server.sockets.watch_writes(self._sock, bool(self._out))
 
     def close_when_answered(self):
-        """Close once nothing is being answered."""
+        """Close once no request is being read or answered."""
         self.closing = True
         if self.is_idle:
             self.on_broken("closed while idle")
 
     def on_broken(self, reason):
-        """Forget the connection."""
+        """Close the socket and remove the connection from the server."""
         if self._broken:
             return
         self._broken = True
--- a/packages/thymefork-net/src/thymefork_net/http/server_limits.py
+++ b/packages/thymefork-net/src/thymefork_net/http/server_limits.py
@@ -1,4 +1,4 @@
-"""What an HTTP server takes from a caller."""
+"""Limits of an HTTP server."""
 
 from attrs import frozen
 
@@ -7,10 +7,10 @@
 
 @frozen(kw_only=True)
 class ServerLimits:
-    """Bound a request's size and time.
+    """Bound the size and duration of requests and the idle time of connections.
 
-    Units: bytes and milliseconds. Source: the defaults hold until the operators'
-    configuration has been read, which then replaces them.
+    The defaults apply until the operators' configuration has been read.
+    Units: bytes and milliseconds.
     """
 
     header_bytes: int = 16_384
--- a/packages/thymefork-net/src/thymefork_net/peers/__init__.py
+++ b/packages/thymefork-net/src/thymefork_net/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Links between instances: thrift messages in frames on TCP connections."""
+"""Links between instances: length-prefixed Thrift messages over TCP."""
 
 from .gen.ttypes import (
     AdviceReply,
--- a/packages/thymefork-net/src/thymefork_net/peers/envelope.py
+++ b/packages/thymefork-net/src/thymefork_net/peers/envelope.py
@@ -1,4 +1,4 @@
-"""The bytes of a message between instances."""
+"""Encoding of the messages between instances."""
 
 from thrift.protocol.TCompactProtocol import TCompactProtocolAcceleratedFactory
 from thrift.TSerialization import deserialize, serialize
@@ -25,23 +25,23 @@
 
 
 def encode(message):
-    """Return the bytes of a message."""
+    """Encode a message."""
     envelope = ttypes.Envelope(**{_FIELDS[type(message)]: message})
     return serialize(envelope, _FACTORY)
 
 
 def decode(data, *, peer):
-    """Return the message that bytes hold.
+    """Decode a message.
 
-    Raises: ProtocolError if they hold none.
+    Raises: ProtocolError if the bytes are not a message of a known type.
     """
     try:
         envelope = deserialize(ttypes.Envelope(), data, _FACTORY)
     except Exception as failure:
-        text = f"{len(data)} bytes are no message"
+        text = f"can't decode a message of {len(data)} bytes"
         raise ProtocolError(text, step="decode", peer=peer) from failure
     for name in _FIELDS.values():
         message = getattr(envelope, name)
         if message is not None:
             return message
-    raise ProtocolError("a message of no known kind", step="decode", peer=peer)
+    raise ProtocolError("message of unknown type", step="decode", peer=peer)
--- a/packages/thymefork-net/src/thymefork_net/peers/link.py
+++ b/packages/thymefork-net/src/thymefork_net/peers/link.py
@@ -1,4 +1,4 @@
-"""One connection to another instance; messages go both ways on it."""
+"""A bidirectional connection to another instance."""
 
 from loguru import logger
 
@@ -13,14 +13,14 @@
 
 __all__ = ["Link"]
 
-# The largest message is a caller's job (256 KiB); twice that is never legitimate.
+# Well above the largest legitimate message, a job of 256 KiB.
 MAX_MESSAGE_BYTES = 1_048_576
-# A peer that does not read is dropped before it holds much of our memory.
+# Bounds the memory that a peer can take by not reading.
 MAX_QUEUED_BYTES = 4_194_304
 
 
 class Link(StreamConnection):
-    """Own one socket to a peer; `peer` is its Hello once that was heard."""
+    """Own a socket to a peer; `peer` is its Hello once that was received."""
 
     def __init__(self, *, sock, links, address=None):
         self.address = address
@@ -37,12 +37,12 @@
 
     @classmethod
     def open(cls, *, address, links):
-        """Begin to connect to a peer; return None where that fails at once."""
+        """Start to connect to a peer; return None if connecting fails at once."""
         try:
             sock = open_stream(address)
         except StreamBrokenError as failure:
             line = logger.bind(event="link_refused", peer=str(address))
-            line.debug("{}", failure)
+            line.debug("can't connect: {}", failure)
             return None
         link = cls(sock=sock, links=links, address=address)
         links.sockets.add(sock, link)
@@ -50,29 +50,29 @@
         return link
 
     def send(self, message):
-        """Queue a message and send what the socket takes."""
+        """Queue a message and send as much as the socket accepts."""
         if self.broken:
             return
         data = frame(encode(message))
         self.sent_bytes += len(data)
         self._out += data
         if len(self._out) > MAX_QUEUED_BYTES:
-            self.on_broken("the peer does not read")
+            self.on_broken("send queue is full: the peer does not read")
         elif self.connected:
             self.on_writable()
 
     @property
     def written_bytes(self):
-        """Return how much of `sent_bytes` the socket has taken; the rest never left."""
+        """Return how many of `sent_bytes` the socket has accepted."""
         return self.sent_bytes - len(self._out)
 
     @property
     def queued_bytes(self):
-        """Return the bytes that the socket has not taken yet."""
+        """Return how many bytes wait for the socket of a connected link."""
         return len(self._out) if self.connected else 0
 
     def on_writable(self):
-        """Finish the connect and send what is queued."""
+        """Complete the connect and send queued bytes."""
         if not self.connected:
             failure = connect_failure(self._sock)
             if failure is not None:
@@ -87,7 +87,7 @@
         self._links.sockets.watch_writes(self._sock, bool(self._out))
 
     def on_readable(self):
-        """Read what came and hand whole messages on."""
+        """Read from the socket and pass on complete messages."""
         data = self._receive()
         if data is None:
             return
@@ -104,18 +104,18 @@
 
     @property
     def listener_address(self):
-        """Return where the peer accepts links, or None until it has said so."""
+        """Return where the peer accepts links, None before its Hello."""
         if self.address is not None or self.peer is None:
             return self.address
         return Address(host=self.peer.host, port=self.peer.port)
 
     @property
     def name(self):
-        """Return the peer's name, or its address until its Hello came."""
+        """Return the peer's name, or its address before its Hello."""
         return self.peer.instance if self.peer is not None else str(self.address)
 
     def on_broken(self, reason):
-        """Close the link and tell its listeners."""
+        """Close the link and notify `links`."""
         if self.broken:
             return
         self.broken = True
--- a/packages/thymefork-net/src/thymefork_net/peers/links.py
+++ b/packages/thymefork-net/src/thymefork_net/peers/links.py
@@ -1,4 +1,4 @@
-"""All links of an instance, and the listener for the peers' ones."""
+"""All links between an instance and its peers."""
 
 from loguru import logger
 
@@ -13,7 +13,7 @@
 
 
 class Links:
-    """Open links on demand, accept the peers', and hand messages to a listener.
+    """Open links on demand, accept those of peers, and pass messages to a listener.
 
     The listener has `on_message(link, message)` and `on_link_broken(link)`.
     """
@@ -30,7 +30,7 @@
         sockets.add(self._server, self)
 
     def open_link(self, address):
-        """Return the link to an address, opening it if need be; None if it can't."""
+        """Return the link to an address, opened if necessary; None if that fails."""
         link = self._out.get(address)
         if link is None:
             link = Link.open(address=address, links=self)
@@ -40,21 +40,21 @@
         return link
 
     def is_responsive(self, address, silence_ms):
-        """Tell whether a link to an address is up and was heard on lately."""
+        """Return whether a connected link to an address received data recently."""
         link = self._out.get(address)
         if link is None or not link.connected:
             return False
         return steady_ms() - link.last_received_ms < silence_ms
 
     def is_unresponsive(self, address, silence_ms):
-        """Tell whether a link to an address is up, but was not heard on lately."""
+        """Return whether a connected link to an address received nothing recently."""
         link = self._out.get(address)
         if link is None or not link.connected:
             return False
         return steady_ms() - link.last_received_ms >= silence_ms
 
     def responsive_fraction(self, silence_ms):
-        """Return the share of the open links that were heard on lately, 0 to 1."""
+        """Return the fraction of connected links that received data recently."""
         links = [link for link in self.all if link.connected]
         cutoff_ms = steady_ms() - silence_ms
         responsive = sum(link.last_received_ms > cutoff_ms for link in links)
@@ -62,7 +62,7 @@
 
     @property
     def incoming(self):
-        """Return the links that peers have opened and introduced themselves on."""
+        """Return the links that peers opened and sent their Hello on."""
         return [link for link in self._in if link.peer is not None]
 
     @property
@@ -72,48 +72,48 @@
 
     @property
     def sent_bytes(self):
-        """Return the bytes sent on the links that are open now."""
+        """Return the bytes sent on the open links."""
         return sum(link.sent_bytes for link in self.all)
 
     @property
     def queued_bytes(self):
-        """Return the bytes that wait for the peers to take them."""
+        """Return the bytes that wait to be sent on the open links."""
         return sum(link.queued_bytes for link in self.all)
 
     def on_readable(self):
-        """Accept the links that wait."""
+        """Accept pending connections of peers."""
         for sock in accept_all(self._server):
             link = Link(sock=sock, links=self)
             self._in.add(link)
             self.sockets.add(sock, link)
 
     def on_writable(self):
-        """Pass over: a listener has nothing to write."""
+        """Do nothing: a listener has nothing to write."""
 
     def on_broken(self, reason):
-        """Log that the listener failed."""
-        logger.bind(event="listener_failed").error("peer listener: {}", reason)
+        """Log a failure of the listener."""
+        logger.bind(event="listener_failed").error("peer listener failed: {}", reason)
 
     def on_message(self, link, message):
-        """Keep a Hello; hand any other message on."""
+        """Store the peer's Hello and pass each message to the listener."""
         if isinstance(message, Hello):
             link.peer = message
         self._listener.on_message(link, message)
 
     def on_link_broken(self, link, reason):
-        """Forget a link and tell the listener."""
+        """Remove a broken link and notify the listener."""
         if link.address is not None and self._out.get(link.address) is link:
             del self._out[link.address]
         self._in.discard(link)
-        # A link that never came about is one of many tries, no change.
+        # Failed connection attempts are frequent while a peer is down.
         level = "INFO" if link.connected else "DEBUG"
         line = logger.bind(event="link_lost", peer=link.name)
         line.log(level, "link to {} closed: {}", link.name, reason)
         self._listener.on_link_broken(link)
 
     def drop_silent(self, silence_ms):
-        """Close the links on which nothing was heard for too long."""
+        """Close the links that have received nothing for `silence_ms`."""
         received_after_ms = steady_ms() - silence_ms
         for link in self.all:
             if link.last_received_ms < received_after_ms:
-                link.on_broken(f"silent for {silence_ms:.0f} ms")
+                link.on_broken(f"received nothing for {silence_ms:.0f} ms")
--- a/packages/thymefork-net/src/thymefork_net/sockets.py
+++ b/packages/thymefork-net/src/thymefork_net/sockets.py
@@ -1,4 +1,4 @@
-"""One poller for all sockets of the process, and who handles each of them."""
+"""One poller for all sockets of the process."""
 
 from circuits import BaseComponent, handler
 from circuits.core.pollers import EPoll
@@ -8,7 +8,7 @@
 
 
 class Sockets(BaseComponent):
-    """Tell each socket's owner when it can read or write.
+    """Notify the owner of each socket when it can be read or written.
 
     An owner has `on_readable()`, `on_writable()` and `on_broken(reason)`.
     """
@@ -22,7 +22,7 @@
 
     @property
     def count(self):
-        """Return how many sockets are open."""
+        """Return the number of open sockets."""
         return len(self._owners)
 
     def add(self, sock, owner):
@@ -31,7 +31,7 @@
         self._poller.addReader(self, sock)
 
     def watch_writes(self, sock, wanted):
-        """Watch, or stop watching, whether the socket takes output."""
+        """Start or stop watching a socket for writability."""
         watching = self._poller.isWriting(sock)
         if wanted and not watching:
             self._poller.addWriter(self, sock)
@@ -39,7 +39,7 @@
             self._poller.removeWriter(sock)
 
     def remove(self, sock):
-        """Forget a socket and close it."""
+        """Stop watching a socket and close it."""
         if self._owners.pop(sock, None) is not None:
             self._poller.discard(sock)
         sock.close()
@@ -67,5 +67,5 @@
             step()
         except Exception:
             line = logger.opt(exception=True).bind(event="socket_handler_failed")
-            line.error("closing the connection of {}", type(owner).__name__)
+            line.error("socket handler of {} failed; closing it", type(owner).__name__)
             owner.on_broken("internal error")
--- a/packages/thymefork-net/src/thymefork_net/steady.py
+++ b/packages/thymefork-net/src/thymefork_net/steady.py
@@ -1,4 +1,4 @@
-"""Timers on the steady clock, which no change of the time of day moves."""
+"""Timers on the steady clock, which changes of the system time do not affect."""
 
 import heapq
 import random
@@ -11,33 +11,31 @@
 __all__ = ["SteadyTimers", "steady_ms"]
 
 
-# The clock that no change of the time of day moves and that counts the time for which
-# the machine was suspended: the store, the workers and callers went on meanwhile, so by
-# a clock that stands still an owner would act on leases that are long over.
+# Unlike CLOCK_MONOTONIC, this clock includes the time that the machine was suspended;
+# otherwise an owner could act on leases that expired meanwhile.
 _CLOCK = time.CLOCK_BOOTTIME
-# Each process draws the moment that its periods are counted from, within this time, so
-# that those on one machine do not all wake at once: the longest period in use.
+# Each process offsets its periodic timers by a random phase of up to the longest period
+# in use, so that the processes of a machine do not all wake up at once.
 _MAX_PHASE_MS = 1_000.0
-# A timer may be called by a rounding error before its moment; its next one is a period
-# later all the same.
+# A timer may fire early by a rounding error; it must not fire twice in its period.
 _ROUNDING_TOLERANCE_MS = 0.5
 
 
 def steady_ms():
-    """Return the steady clock in milliseconds, with the time spent suspended."""
+    """Return the steady clock in milliseconds, including time spent suspended."""
     return time.clock_gettime(_CLOCK) * 1000.0
 
 
 class SteadyTimers(BaseComponent):
-    """Call functions at moments of the steady clock.
+    """Call functions at given times of the steady clock.
 
-    `circuits.Timer` reads the time of day, so nothing here uses it.
+    Unlike `circuits.Timer`, they are not affected by changes of the system time.
     """
 
     channel = "steady-timers"
 
     def init(self):
-        """Start without timers."""
+        """Initialize without timers."""
         self._heap = []
         self._actions = {}
         self._ids = count(1)
@@ -51,15 +49,14 @@
         return timer_id
 
     def after(self, delay_ms, action):
-        """Call `action` once `delay_ms` have passed; return its id."""
+        """Call `action` after `delay_ms`; return the timer's id."""
         return self.at(steady_ms() + delay_ms, action)
 
     def every(self, period_ms, action):
-        """Call `action` again and again, at each multiple of `period_ms`.
+        """Call `action` periodically, at each multiple of `period_ms`.
 
-        The multiples are counted from one moment for all, so that one wake-up serves
-        every timer that is due by then. Moments that a pause has missed are passed
-        over.
+        All periodic timers are aligned to the same phase, so that one wake-up serves
+        several of them. Calls that were missed during a pause are skipped.
         """
 
         def again():
@@ -71,12 +68,12 @@
         return self.at(self._next_ms(period_ms), again)
 
     def _next_ms(self, period_ms):
-        """Return the first multiple of a period that is still to come."""
+        """Return the next multiple of a period."""
         since_ms = steady_ms() - self._phase_ms + _ROUNDING_TOLERANCE_MS
         return self._phase_ms + (since_ms // period_ms + 1) * period_ms
 
     def cancel(self, timer_id):
-        """Forget a timer; an unknown id is passed over."""
+        """Cancel a timer; ignore an unknown id."""
         self._actions.pop(timer_id, None)
 
     @handler("generate_events", priority=10)
@@ -98,4 +95,6 @@
     try:
         action()
     except Exception:
-        logger.opt(exception=True).bind(event="timer_failed").error("a timer failed")
+        logger.opt(exception=True).bind(event="timer_failed").error(
+            "timer callback failed"
+        )
--- a/packages/thymefork-net/src/thymefork_net/stream_connection.py
+++ b/packages/thymefork-net/src/thymefork_net/stream_connection.py
@@ -1,4 +1,4 @@
-"""What connections of every kind do alike with their socket."""
+"""Common base of all connections on a TCP stream."""
 
 from .streams import StreamBrokenError, receive, send
 
@@ -9,7 +9,7 @@
     """Read and write `_sock`; `on_broken(reason)` ends a connection that fails."""
 
     def _receive(self):
-        """Return what has come; None where nothing has, or the connection ended."""
+        """Return received bytes, None if there are none or the connection ended."""
         try:
             return receive(self._sock)
         except StreamBrokenError as failure:
@@ -17,7 +17,7 @@
             return None
 
     def _send_some(self, data):
-        """Return how many bytes the socket took, None where the connection ended."""
+        """Return how many bytes the socket accepted, None if the connection ended."""
         try:
             return send(self._sock, data)
         except StreamBrokenError as failure:
--- a/packages/thymefork-net/src/thymefork_net/streams.py
+++ b/packages/thymefork-net/src/thymefork_net/streams.py
@@ -1,4 +1,4 @@
-"""Non-blocking TCP sockets: the same few steps for every kind of connection."""
+"""Non-blocking TCP sockets."""
 
 import errno
 import socket
@@ -18,13 +18,13 @@
 ]
 
 RECEIVE_BYTES = 262_144
-# Linger for no time: a close, also at the end of the process, drops what is queued.
+# SO_LINGER with a timeout of 0: closing the socket discards unsent data.
 _NO_LINGER = struct.pack("ii", 1, 0)
 _CONNECTING_CODES = (0, errno.EINPROGRESS, errno.EWOULDBLOCK)
 
 
 class StreamBrokenError(Exception):
-    """Tell why a stream is over, and whether the peer refused to connect."""
+    """Report why a stream ended, and whether the peer refused the connection."""
 
     def __init__(self, reason, *, refused=False):
         super().__init__(reason)
@@ -32,7 +32,7 @@
 
 
 def open_listener(address, backlog):
-    """Return a socket that listens at an address."""
+    """Return a non-blocking socket that listens at an address."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.setblocking(False)
@@ -42,23 +42,25 @@
 
 
 def accept_all(listener):
-    """Yield the connections that wait."""
+    """Accept and yield all pending connections."""
     while True:
         try:
             sock, _ = listener.accept()
         except BlockingIOError:
             return
         except OSError as failure:
-            logger.bind(event="accept_failed").warning("accept: {}", failure)
+            logger.bind(event="accept_failed").warning(
+                "can't accept a connection: {}", failure
+            )
             return
         _prepare(sock)
         yield sock
 
 
 def open_stream(address):
-    """Begin to connect.
+    """Return a socket that starts to connect to an address.
 
-    Raises: StreamBrokenError if that fails at once.
+    Raises: StreamBrokenError if connecting fails at once.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     _prepare(sock)
@@ -75,12 +77,12 @@
 
 
 def reset_on_close(sock):
-    """Let nothing that is still queued be delivered after the socket is closed."""
+    """Make the socket discard unsent data and reset the connection on close."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
 
 
 def connect_failure(sock):
-    """Return why a connect has failed, as StreamBrokenError, or None."""
+    """Return the StreamBrokenError of a failed connect, None if it succeeded."""
     code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if not code:
         return None
@@ -88,9 +90,9 @@
 
 
 def receive(sock):
-    """Return what has come; nothing yet is None.
+    """Return received bytes, None if there are none yet.
 
-    Raises: StreamBrokenError if the peer has closed or the stream is broken.
+    Raises: StreamBrokenError if the peer closed the stream or it failed.
     """
     try:
         data = sock.recv(RECEIVE_BYTES)
@@ -99,14 +101,14 @@
     except OSError as failure:
         raise _stream_error(failure) from failure
     if not data:
-        raise StreamBrokenError("closed by the peer")
+        raise StreamBrokenError("connection closed by the peer")
     return data
 
 
 def send(sock, data):
-    """Return how many bytes the socket took.
+    """Return how many bytes the socket accepted.
 
-    Raises: StreamBrokenError if the stream is broken.
+    Raises: StreamBrokenError if the stream failed.
     """
     try:
         return sock.send(data)
--- a/packages/thymefork-net/src/thymefork_net/tests/conftest.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/conftest.py
@@ -1,4 +1,4 @@
-"""An event loop that a test drives by hand."""
+"""An event loop that tests run step by step."""
 
 import socket
 
@@ -18,10 +18,10 @@
         self.sockets = Sockets().register(self)
 
     def run_until(self, condition, within_ms=3_000):
-        """Turn the loop until a condition holds."""
+        """Run the loop until a condition holds."""
         end_ms = steady_ms() + within_ms
         while not condition():
-            assert steady_ms() < end_ms, "the condition did not come true in time"
+            assert steady_ms() < end_ms, "the condition did not become true in time"
             self._running = True
             self.timers.after(5, lambda: None)
             self.tick(0.005)
--- a/packages/thymefork-net/src/thymefork_net/tests/test_adaptive_timeout.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_adaptive_timeout.py
@@ -1,4 +1,4 @@
-"""How long answers are waited for."""
+"""Tests of the adaptive timeout."""
 
 import pytest
 
@@ -10,13 +10,13 @@
     return AdaptiveTimeout(initial_ms=4.0, factor=10.0, min_ms=60.0, max_ms=300.0)
 
 
-def test_quick_answers_keep_the_patience_short(adaptive_timeout):
+def test_fast_answers_keep_the_minimum_timeout(adaptive_timeout):
     for _ in range(20):
         adaptive_timeout.record_answer_time(3.0)
     assert adaptive_timeout.patience_ms == 60.0
 
 
-def test_a_slow_answer_is_followed_at_once_and_forgotten_slowly(adaptive_timeout):
+def test_slow_answer_raises_the_timeout_which_then_decays(adaptive_timeout):
     adaptive_timeout.record_answer_time(20.0)
     assert adaptive_timeout.patience_ms == 200.0
     adaptive_timeout.record_answer_time(3.0)
@@ -26,7 +26,9 @@
     assert adaptive_timeout.patience_ms == 60.0
 
 
-def test_silence_in_a_row_makes_it_longer_up_to_the_bound(adaptive_timeout):
+def test_consecutive_unanswered_calls_raise_the_timeout_to_its_maximum(
+    adaptive_timeout,
+):
     for _ in range(9):
         adaptive_timeout.record_unanswered()
     assert adaptive_timeout.patience_ms == 300.0
--- a/packages/thymefork-net/src/thymefork_net/tests/test_heartbeat.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_heartbeat.py
@@ -1,10 +1,10 @@
-"""Heartbeats of instances that know more, or less, than each other."""
+"""Heartbeats between instances of different versions."""
 
 from thymefork_net.peers import Heartbeat
 from thymefork_net.peers.envelope import decode, encode
 
 
-def test_what_an_owner_is_told_of_its_peers_goes_over_the_wire():
+def test_heartbeat_fields_survive_encoding():
     sent = Heartbeat(
         owned=[],
         config_version=3,
@@ -19,7 +19,7 @@
     assert decode(encode(sent), peer="a") == sent
 
 
-def test_an_instance_that_knows_no_ranks_is_understood():
+def test_heartbeat_without_optional_fields_is_decoded():
     sent = Heartbeat(owned=[], config_version=3, leaving=False)
     received = decode(encode(sent), peer="a")
     assert received.tier is None and received.load_percent is None
--- a/packages/thymefork-net/src/thymefork_net/tests/test_http.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server and the pool of outgoing connections, against each other."""
+"""The HTTP server and the connection pool, tested against each other."""
 
 import socket
 
@@ -33,7 +33,7 @@
     return HttpCall(address=address, on_answer=answers.append, **values)
 
 
-def test_calls_reuse_a_connection(loop, address, served):
+def test_sequential_calls_reuse_a_connection(loop, address, served):
     pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=2)
     _, requests = served
     for number in range(3):
@@ -47,7 +47,7 @@
     assert (requests[0].path, requests[0].query) == ("/x", "y=1")
 
 
-def test_a_call_without_an_answer_fails_at_its_deadline(loop, address, served):
+def test_unanswered_call_fails_at_its_deadline(loop, address, served):
     pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
     pool.send(call(address, answers, deadline_ms=steady_ms() + 60))
@@ -55,7 +55,7 @@
     assert answers[0].status == 0 and answers[0].sent
 
 
-def test_a_call_that_is_unwanted_is_not_sent(loop, address, served):
+def test_unwanted_call_is_not_sent(loop, address, served):
     pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
     pool.send(call(address, answers, still_wanted=lambda: False))
@@ -64,7 +64,7 @@
     assert not served[1]
 
 
-def test_unwanted_calls_leave_connections_alone(loop, address, served):
+def test_unwanted_calls_open_and_close_no_connections(loop, address, served):
     """From a review: in an outage each owed stop cost a connection every 60 ms."""
     pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     unwanted, answers = [], []
@@ -83,7 +83,7 @@
     assert not any(answer.status or answer.sent for answer in unwanted)
 
 
-def test_a_call_behind_one_that_became_unwanted_is_sent(loop, address, served):
+def test_call_queued_behind_unwanted_ones_is_sent(loop, address, served):
     pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     first, unwanted, last = [], [], []
     wanted = [True]
@@ -102,7 +102,7 @@
     assert pool.connection_count == 1
 
 
-def test_a_dead_port_fails_unsent(loop, address):
+def test_call_to_a_closed_port_fails_unsent(loop, address):
     pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
     pool.send(call(address, answers))
@@ -111,7 +111,7 @@
 
 
 def send_raw(loop, address, data):
-    """Send bytes and return what comes until the server has nothing more to say."""
+    """Send bytes on a new connection and return its socket."""
     sock = socket.create_connection((address.host, address.port))
     sock.sendall(data)
     sock.setblocking(False)
@@ -132,9 +132,7 @@
     return bytes(got)
 
 
-def test_a_body_over_the_limit_is_refused_and_the_next_request_is_served(
-    loop, address, served
-):
+def test_body_over_the_limit_is_refused_and_next_request_served(loop, address, served):
     server, requests = served
     server.limits = ServerLimits(body_bytes=10)
     big = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 50\r\n\r\n" + b"x" * 50
@@ -155,14 +153,14 @@
         (b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: x\r\n\r\n", b"400"),
     ],
 )
-def test_a_head_that_cannot_be_taken_is_answered(loop, address, served, data, status):
+def test_invalid_or_too_large_head_is_refused(loop, address, served, data, status):
     served[0].limits = ServerLimits(header_bytes=1_000)
     sock = send_raw(loop, address, data)
     assert b"HTTP/1.1 " + status in read_until(loop, sock, b"\r\n\r\n")
     assert not served[1]
 
 
-def test_requests_on_one_connection_are_answered_in_order(loop, address, served):
+def test_pipelined_requests_are_answered_in_order(loop, address, served):
     one = b"GET /%d HTTP/1.1\r\nHost: h\r\n\r\n"
     sock = send_raw(loop, address, one % 1 + one % 2)
     loop.run_until(lambda: len(served[1]) == 2)
@@ -172,7 +170,7 @@
     assert got.index(b"first!") < got.index(b"second")
 
 
-def test_a_draining_server_answers_and_then_closes(loop, address, served):
+def test_draining_server_answers_and_then_closes(loop, address, served):
     server, requests = served
     sock = send_raw(loop, address, b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
     loop.run_until(lambda: requests)
@@ -183,8 +181,8 @@
     loop.run_until(lambda: server.open_connections == 0)
 
 
-def test_a_request_is_open_until_its_whole_answer_was_taken(loop, address, served):
-    """A process that stops ends once none is open, and what is unsent is lost."""
+def test_request_is_open_until_its_whole_answer_was_sent(loop, address, served):
+    """A process exits once none is open, which would lose unsent data."""
     server, requests = served
     body = b"x" * 8_000_000  # more than both sockets' buffers hold
     with send_raw(loop, address, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n") as sock:
@@ -195,14 +193,14 @@
         loop.run_until(lambda: not server.open_requests)
 
 
-def test_a_slow_head_is_answered_408(loop, address, served):
+def test_head_that_arrives_too_slowly_is_answered_408(loop, address, served):
     served[0].limits = ServerLimits(header_timeout_ms=100)
     sock = send_raw(loop, address, b"GET /a HTTP/1.1\r\nHost:")
     assert b"408" in read_until(loop, sock, b"\r\n\r\n")
 
 
-def test_a_call_that_was_given_up_is_reset(loop, address):
-    """From wattle-tas-grown, scale-2: a join of a dead life arrived after a cut."""
+def test_connection_of_a_timed_out_call_is_reset(loop, address):
+    """Otherwise a call could be delivered after its sender has ended."""
     with socket.socket() as listener:
         listener.bind((address.host, address.port))
         listener.listen()
@@ -219,7 +217,7 @@
 
 
 class UnresponsiveServer:
-    """Answer calls until told to; then open connections say nothing, new ones do."""
+    """Answer calls until `stop_answering`; after that only on new connections."""
 
     def __init__(self, loop, address):
         self.unresponsive = set()
@@ -239,13 +237,13 @@
             request.answer(200, b"ok")
 
     def stop_answering(self):
-        """Let all connections that are open now go silent for good."""
+        """Leave all further calls on the open connections unanswered."""
         self.unresponsive = set(self.connections)
 
 
 @pytest.fixture
 def pool_with_stale_connections(loop, address):
-    """Return a pool with two idle connections that have both gone silent."""
+    """Return a pool with two idle connections that are both unresponsive."""
     unresponsive_server = UnresponsiveServer(loop, address)
     pool = HttpPool(
         sockets=loop.sockets,
@@ -262,7 +260,7 @@
     return pool
 
 
-def test_after_silence_on_one_connection_the_next_call_takes_a_new_one(
+def test_after_a_timeout_the_next_call_takes_a_new_connection(
     loop, address, pool_with_stale_connections
 ):
     first, second = [], []
@@ -276,7 +274,7 @@
     assert second[0].status == 200 and pool_with_stale_connections.connection_count == 3
 
 
-def test_a_repeated_call_is_answered_beside_silent_connections(
+def test_retry_on_a_new_connection_is_answered(
     loop, address, pool_with_stale_connections
 ):
     first, again = [], []
@@ -286,9 +284,7 @@
     assert again[0].status == 200 and not first
 
 
-def test_the_first_call_on_a_connection_may_have_a_body_of_its_own(
-    loop, address, served
-):
+def test_first_body_is_sent_in_the_first_call_on_a_connection(loop, address, served):
     pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     _, requests = served
     calls, answers = [], []
--- a/packages/thymefork-net/src/thymefork_net/tests/test_links.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links between instances."""
+"""Tests of links between instances."""
 
 import socket
 
@@ -47,7 +47,7 @@
     return Address(host=hello.host, port=hello.port)
 
 
-def test_messages_go_both_ways_on_one_link(loop, pair):
+def test_messages_are_sent_both_ways_on_one_link(loop, pair):
     (a, listener_a), (b, listener_b) = pair
     link = a.open_link(address_of(b))
     link.send(
@@ -65,21 +65,21 @@
     assert a.open_link(address_of(b)) is link
 
 
-def test_a_refused_link_says_so(loop, pair):
+def test_refused_link_is_marked_as_refused(loop, pair):
     (a, link_listener), _ = pair
     a.open_link(free_address())
     loop.run_until(lambda: link_listener.broken)
     assert link_listener.broken[0].was_refused
 
 
-def test_bytes_that_are_no_message_close_the_link(loop, pair):
+def test_invalid_message_closes_the_link(loop, pair):
     (a, link_listener), _ = pair
     sock = socket.create_connection((address_of(a).host, address_of(a).port))
     sock.sendall(b"\x00\x00\x00\x04oops")
     loop.run_until(lambda: link_listener.broken)
 
 
-def test_a_silent_link_is_dropped(loop, pair):
+def test_silent_link_is_closed(loop, pair):
     (a, link_listener), (b, _) = pair
     a.open_link(address_of(b))
     loop.run_until(lambda: all(link.connected for link in a.all))
@@ -87,7 +87,7 @@
     assert link_listener.broken
 
 
-def test_a_link_tells_how_much_of_what_was_sent_has_left(loop, pair):
+def test_written_bytes_reach_sent_bytes_once_connected(loop, pair):
     (a, _), (b, listener_b) = pair
     link = a.open_link(address_of(b))
     link.send(Heartbeat(owned=[], config_version=4, leaving=True))
@@ -96,7 +96,7 @@
     assert link.written_bytes == link.sent_bytes
 
 
-def test_nothing_has_left_on_a_link_that_was_refused(loop, pair):
+def test_refused_link_has_written_no_bytes(loop, pair):
     (a, link_listener), _ = pair
     link = a.open_link(free_address())
     link.send(Heartbeat(owned=[], config_version=4, leaving=True))
--- a/packages/thymefork-net/src/thymefork_net/tests/test_long_answers.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_long_answers.py
@@ -1,4 +1,4 @@
-"""Answers that come in parts over a slow link."""
+"""Answers that arrive in parts over a slow link."""
 
 import socket
 
@@ -19,7 +19,7 @@
 
 
 class SlowServer:
-    """Answer in parts that come apart, and keep the last one back if told so."""
+    """Send an answer in delayed parts, optionally stopping before the last ones."""
 
     def __init__(self, loop, address, *, parts, part_interval_ms, stops_after=None):
         self._listener = socket.create_server((address.host, address.port))
@@ -66,10 +66,10 @@
 
 
 @pytest.mark.parametrize("extra_ms, status", [(2_000, 200), (0, 0), (100, 0)])
-def test_a_long_answer_goes_on_while_its_parts_come(
+def test_long_answer_is_awaited_while_its_parts_arrive(
     loop, address, serve_slowly, extra_ms, status
 ):
-    """From cab-bogota-large, trouble-3 at a small size: a page was never whole."""
+    """A fixed deadline would never let a large page arrive over a slow link."""
     serve_slowly(parts=10, part_interval_ms=30)
     pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
@@ -82,7 +82,7 @@
     assert answers[0].status == status
 
 
-def test_a_long_answer_whose_parts_stop_is_given_up(
+def test_long_answer_whose_parts_stop_times_out(
     loop, address, serve_slowly, monkeypatch
 ):
     monkeypatch.setattr(pool_module, "PART_TIMEOUT_MS", 100.0)
@@ -90,7 +90,7 @@
     pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
     began_ms = steady_ms()
-    fields = {"deadline_ms": began_ms + 120, "latest_ms": began_ms + 5_000}
+    fields = {"deadline_ms": began_ms + 120, "max_deadline_ms": began_ms + 5_000}
     pool.send(call(address, answers, **fields))
     loop.run_until(lambda: answers)
     assert answers[0].status == 0
--- a/packages/thymefork-net/src/thymefork_net/tests/test_steady.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_steady.py
@@ -1,4 +1,4 @@
-"""Timers on the steady clock."""
+"""Tests of timers on the steady clock."""
 
 import time
 from pathlib import Path
@@ -20,22 +20,22 @@
     assert fired == ["a", "b"]
 
 
-def test_a_jump_of_the_time_of_day_moves_no_timer(loop, monkeypatch):
+def test_change_of_the_system_time_does_not_affect_timers(loop, monkeypatch):
     fired = []
     monkeypatch.setattr(time, "time", lambda: 0.0)
     loop.timers.after(20, lambda: fired.append(1))
     loop.run_until(lambda: fired)
 
 
-def test_a_failing_timer_does_not_stop_the_others(loop):
+def test_failing_timer_does_not_stop_the_others(loop):
     fired = []
     loop.timers.after(5, lambda: 1 / 0)
     loop.timers.after(10, lambda: fired.append(1))
     loop.run_until(lambda: fired)
 
 
-def test_the_time_for_which_the_machine_was_suspended_counts(monkeypatch):
-    """A lease, a membership or a deadline must not outlast a sleep of the machine."""
+def test_steady_clock_includes_suspended_time(monkeypatch):
+    """Leases, memberships and deadlines must expire while the machine is suspended."""
     awake_ms, before_ms = time.monotonic() * 1000.0, steady_ms()
     read = time.clock_gettime
     slept_s = {time.CLOCK_BOOTTIME: 5.0, time.CLOCK_REALTIME: 5.0}
@@ -46,7 +46,7 @@
     assert 5_000.0 <= steady_ms() - before_ms < 6_000.0
 
 
-def test_a_timer_whose_time_passed_in_a_sleep_is_due_at_once(loop, monkeypatch):
+def test_timer_that_was_due_during_a_suspension_fires_at_once(loop, monkeypatch):
     fired = []
     loop.timers.after(4_000.0, lambda: fired.append(1))
     read = time.clock_gettime
@@ -57,8 +57,8 @@
     loop.run_until(lambda: fired)
 
 
-def test_decisions_read_no_clock_but_the_one_that_counts_sleep():
-    """One clock module: any other reading would stand still while a machine sleeps."""
+def test_no_module_reads_a_clock_without_suspended_time():
+    """The monotonic clock stops while the machine is suspended."""
     root = Path(thymefork_net.__file__).parents[4]
     folders = (
         root / "packages/thymefork-net",
@@ -76,7 +76,7 @@
 
 
 class FakeEvent:
-    """Take how long the loop may sleep, as the library's event does."""
+    """Record how long the loop may sleep, as the event of circuits does."""
 
     time_left_s = 10.0
 
@@ -85,7 +85,7 @@
 
 
 def count_wake_ups(monkeypatch, timers, clock, for_ms):
-    """Sleep until the next timer again and again; return how often that was."""
+    """Run timers on a simulated clock and return the number of wake-ups."""
     wake_ups, end_ms = 0, clock[0] + for_ms
     while True:
         event = FakeEvent()
@@ -103,13 +103,8 @@
     return clock
 
 
-def test_timers_that_repeat_share_their_wake_ups(monkeypatch, clock):
-    """From the sweep at 300 instances, given up for its processor time.
-
-    An idle instance woke 62 to 83 times a second, each of its repeating timers at a
-    moment of its own, and took 3 to 3.8% of a core. The quickest comes 20 times a
-    second, and the others' periods are multiples of it.
-    """
+def test_periodic_timers_share_wake_ups(monkeypatch, clock):
+    """Separate wake-ups for each timer would cost CPU time in idle instances."""
     timers = SteadyTimers()
     called = {}
     for number, period_ms in enumerate((50, 50, 100, 100, 100, 250, 1_000)):
@@ -122,7 +117,7 @@
     assert all(abs(a - b) <= 1 for a, b in zip(counts, wanted, strict=True))
 
 
-def test_a_timer_that_repeats_skips_what_a_pause_has_missed(monkeypatch, clock):
+def test_periodic_timer_skips_calls_missed_during_a_pause(monkeypatch, clock):
     timers, called = SteadyTimers(), []
     timers.every(100.0, lambda: called.append(clock[0]))
     count_wake_ups(monkeypatch, timers, clock, 1_000.0)
@@ -132,8 +127,8 @@
     assert len(called) - before <= 12
 
 
-def test_instances_beat_at_moments_of_their_own(monkeypatch, clock):
-    """Those on one machine share its clock, and must not all wake at once."""
+def test_processes_use_different_timer_phases(monkeypatch, clock):
+    """Processes on one machine must not all wake up at the same time."""
     moments = set()
     for _ in range(20):
         timers, called = SteadyTimers(), []
--- a/thymeforkd.py
+++ b/thymeforkd.py
@@ -1,4 +1,4 @@
-"""Run the daemon from a checkout: the packages' folders go on Python's path."""
+"""Run the daemon from a checkout, without installing its packages."""
 
 import sys
 from pathlib import Path
@@ -7,8 +7,8 @@
 ROOT = Path(__file__).resolve().parent
 PACKAGES = ("core", "net", "cells", "daemon")
 
-# circuits loads this old library only to declare itself a namespace, which nothing here
-# needs; it would take half of the time of a restart.
+# circuits imports pkg_resources only to declare a namespace, which is not needed here;
+# loading it would double the time of a restart.
 _PKG_RESOURCES = ModuleType("pkg_resources")
 _PKG_RESOURCES.declare_namespace = lambda name: None
 sys.modules.setdefault("pkg_resources", _PKG_RESOURCES)
@@ -17,7 +17,7 @@
 ]
 sys.path.insert(0, str(ROOT / "platform" / "src"))
 
-from thymefork_daemon.main import main  # noqa: E402 - the path comes first
+from thymefork_daemon.main import main  # noqa: E402 - needs the path
 
 if __name__ == "__main__":
     sys.exit(main())
