--- a/packages/thymefork-cells/src/thymefork_cells/cell.py
+++ b/packages/thymefork-cells/src/thymefork_cells/cell.py
@@ -165,7 +165,7 @@
         if now_ms >= self._review_due_ms:
             self._review_due_ms = now_ms + REVIEW_MS
             self.quorum.check(now_ms)
-            self.registry.expire(now_ms)
+            self.registry.expire_leases(now_ms)
             self.extended_leases.review(now_ms)
             self.commands.stop_unconfirmed_starts(now_ms)
             self.commands.log_overdue_stops(now_ms)
@@ -248,7 +248,7 @@
         verdict = self.incarnations.match_report(worker, born_epoch_ms, now_ms)
         if verdict is IncarnationMatch.NEXT:
             entry = self.incarnations.placeholder_entry(worker)
-            self.incarnations.begin(
+            self.incarnations.start_next(
                 worker, entry=entry, born_epoch_ms=born_epoch_ms, now_ms=now_ms
             )
         elif verdict is IncarnationMatch.EARLIER:
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
@@ -155,7 +155,7 @@
         if job.is_live:
             reason = "its caller cancelled it"
             self._lifecycle.finish(job, JobState.CANCELLED, reason, now_ms=now_ms)
-        self._context.journal.change(job)
+        self._context.journal.mark_changed(job)
         reply = Reply(request_id=request_id, outcome=Outcome.CANCELLED, job_id=job_id)
         self._context.journal.after(reply)
 
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
@@ -90,10 +90,10 @@
     def add(self, job):
         """Store a job that is new."""
         self._new_jobs[job.job_id] = job
-        self.change(job)
+        self.mark_changed(job)
         self.is_urgent = True
 
-    def change(self, job):
+    def mark_changed(self, job):
         """Store a job's progress; it keeps its place where it waits already."""
         self.is_urgent = self.is_urgent or not job.is_live
         if job.job_id not in self._changes:
@@ -170,9 +170,9 @@
         self._dropped_keys = []
         epoch_ms = time.time() * 1000.0
         while self._changes and batch.size_bytes <= MAX_BATCH_BYTES:
-            change = self._changes.pop(next(iter(self._changes)))
-            batch.last_number = change.number
-            self._put(batch, change.job, epoch_ms, now_ms)
+            mark_changed = self._changes.pop(next(iter(self._changes)))
+            batch.last_number = mark_changed.number
+            self._put(batch, mark_changed.job, epoch_ms, now_ms)
         self._taken_number = batch.last_number
         self._release_effects(batch)
         return batch
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/lifecycle.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/lifecycle.py
@@ -27,7 +27,7 @@
         run.task.step.invalidate_waiting()
         run.task.last_lost_ms = now_ms
         self._context.needs_plan = True
-        self._context.journal.change(run.task.step.job)
+        self._context.journal.mark_changed(run.task.step.job)
 
     def end(self, run, how, checkpoint, *, now_ms):
         """Apply an end that a worker has listed."""
@@ -76,7 +76,7 @@
             return
         self._context.count("run_ends", f"{how}_late")
         self._context.note("run_ended_late", task=task_name, run=run_id, how=how)
-        self._context.journal.change(job)
+        self._context.journal.mark_changed(job)
         self._context.needs_plan = True
 
     def _task_named(self, task_name):
@@ -170,7 +170,7 @@
         job.ended_ms = now_ms
         self._context.live_jobs.pop(job.job_id, None)
         dropped, stopped = self._leave(job, now_ms)
-        self._context.journal.change(job)
+        self._context.journal.mark_changed(job)
         self._context.needs_plan = True
         self._context.count("jobs_ended", str(state))
         self._context.observe(
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_concurrent_appends.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_concurrent_appends.py
@@ -140,7 +140,7 @@
     appends.store_first()
     journal = harness.cell.journal
     for job_id in (JOB, OTHER):
-        journal.change(harness.job(job_id))
+        journal.mark_changed(harness.job(job_id))
     appends.send()
     journal.after("told")
     assert appends.send().effects == ["told"]
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
@@ -80,7 +80,7 @@
     assert len(harness.starts_of(task)) == 1
     harness.workers["w1"].is_unreachable = False
     harness.run(4_000)
-    harness.cell.registry.expire(harness.now)
+    harness.cell.registry.expire_leases(harness.now)
     assert not harness.cell.context.workers["w0"].runs
     assert harness.now - taken_over_ms < 10_000
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
@@ -83,7 +83,7 @@
         reason = "earlier_life" if born_epoch_ms else "life_untold"
         self._context.count("looks", reason)
 
-    def begin(self, worker, *, entry, born_epoch_ms, now_ms):
+    def start_next(self, worker, *, entry, born_epoch_ms, now_ms):
         """End a worker's life; return the next one under its id."""
         self._context.note(
             "worker_life_changed",
--- a/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
@@ -113,7 +113,7 @@
         if run.is_of_earlier_incarnation:
             run.born_epoch_ms = run.worker.born_epoch_ms
             run.is_carried_over = False
-            self._context.journal.change(run.task.step.job)
+            self._context.journal.mark_changed(run.task.step.job)
 
     def _stop_was_in_vain(self, run, clock_ms):
         """Tell whether a run goes on though its stop was answered long ago."""
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_losses.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_losses.py
@@ -117,7 +117,7 @@
             loss = task.losses.get(incarnation)
             if loss is not None and not loss.is_certain:
                 task.losses[incarnation] = evolve(loss, is_certain=True)
-                self._context.journal.change(task.step.job)
+                self._context.journal.mark_changed(task.step.job)
                 self._judge(task, now_ms)
 
     def on_answer(self, worker, *, now_ms):
@@ -137,7 +137,7 @@
         for task in tasks:
             if task.losses.pop(incarnation, None) is not None:
                 self._context.count("worker_losses", "taken_back")
-                self._context.journal.change(task.step.job)
+                self._context.journal.mark_changed(task.step.job)
 
     def forget(self, worker):
         """Stop waiting for word of a worker; what was lost with it stays counted."""
@@ -152,7 +152,7 @@
             return
         task.losses.clear()
         self._context.count("worker_losses", "outlived")
-        self._context.journal.change(task.step.job)
+        self._context.journal.mark_changed(task.step.job)
 
     def _judge(self, task, now_ms):
         """Give a job up whose task has crashed too many workers."""
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -88,7 +88,7 @@
         if verdict is IncarnationMatch.EARLIER:
             return  # the worker has started again, and its entry is still to come
         if verdict is IncarnationMatch.NEXT:
-            worker = self._lives.begin(
+            worker = self._lives.start_next(
                 worker, entry=entry, born_epoch_ms=entry.born_epoch_ms, now_ms=now_ms
             )
         self._note_room(worker, entry)
@@ -150,7 +150,7 @@
             self._context.workers.pop(worker.worker_id, None)
         worker.is_listed = False
 
-    def expire(self, now_ms):
+    def expire_leases(self, now_ms):
         """Release the runs whose leases are over on workers that do not answer."""
         for worker in list(self._context.workers.values()):
             silent = (
