--- a/packages/thymefork-cli/src/thymefork_cli/explain.py
+++ b/packages/thymefork-cli/src/thymefork_cli/explain.py
@@ -114,8 +114,10 @@
     refusals = lines_with(own_lines, "request_refused")
     if refusals and not lines_with(own_lines, "job_accepted"):
         line = refusals[-1]
-        words = f"{line['outcome']} after {line['after_ms']} ms, {len(refusals)} times"
-        return f"{words}: its cell's owner could store nothing, or was not found"
+        description = (
+            f"{line['outcome']} after {line['after_ms']} ms, {len(refusals)} times"
+        )
+        return f"{description}: its cell's owner could store nothing, or was not found"
     return "; ".join(["it has not ended in these logs", *_delays(own_lines, near)])
 
 
@@ -137,12 +139,12 @@
 
 def _delays(own_lines, near):
     """Return what delayed the job, the most specific reasons first."""
-    found = []
+    delays = []
     failed = [line for line in own_lines if line.get("how") == "failed"]
     if failed:
         workers = sorted({line["worker"] for line in failed})
-        found.append(f"{len(failed)} runs failed on {', '.join(workers)}")
-    for event, words in (
+        delays.append(f"{len(failed)} runs failed on {', '.join(workers)}")
+    for event, description in (
         ("run_stands_still", "runs stalled"),
         ("run_moves", "runs were moved off a slow worker"),
         ("runs_lost", "times a worker with its runs was lost"),
@@ -150,18 +152,20 @@
     ):
         count = len(lines_with(own_lines, event))
         if count:
-            found.append(f"{count} {words}")
+            delays.append(f"{count} {description}")
     waits = lines_with(own_lines, "step_waits")
     if waits:
-        found.append(_describe_wait(waits[-1]))
+        delays.append(_describe_wait(waits[-1]))
     seen = {line["event"] for line in near}
-    found += [words for event, words in _CELL_EVENTS.items() if event in seen]
+    delays += [
+        description for event, description in _CELL_EVENTS.items() if event in seen
+    ]
     starts = lines_with(own_lines, "tasks_start")
     if starts:
-        found += _longest_step(own_lines, starts)
+        delays += _longest_step(own_lines, starts)
         waited_ms = max(line["waited_ms"] for line in starts)
-        found.append(f"the longest wait for a start was {waited_ms} ms")
-    return found
+        delays.append(f"the longest wait for a start was {waited_ms} ms")
+    return delays
 
 
 def _longest_step(own_lines, starts):
@@ -172,10 +176,10 @@
     first_starts = {}
     for line in starts:
         first_starts.setdefault(line["step"], line)
-    marks = [*first_starts.values(), ends[-1]]
+    boundaries = [*first_starts.values(), ends[-1]]
     spans_ms = {
         before["step"]: ms_between(before, after)
-        for before, after in zip(marks, marks[1:], strict=False)
+        for before, after in zip(boundaries, boundaries[1:], strict=False)
     }
     longest = max(spans_ms, key=spans_ms.get)
     return [f"{longest} took longest, {spans_ms[longest]:.0f} ms from its first start"]
--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -225,7 +225,7 @@
         line.bind(trace="".join(trace)).error("{}: {}", kind.__name__, error)
 
     def _keep_house(self):
-        self.links.drop_silent(LINK_SILENCE_MS)
+        self.links.close_unresponsive(LINK_SILENCE_MS)
         self.readiness.check()
         self._settings_watch.check_signal()
         if self._shutdown.is_complete():
--- a/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
@@ -58,7 +58,7 @@
             self._daemon.metrics.count("refusals", "no_queue")
             request.answer(404)
             return
-        account = configuration.account_of_key(CallerRequests.key_of(request))
+        account = configuration.account_of_key(CallerRequests.api_key_of(request))
         if account is None and configuration.requires_key(queue):
             self._refuse_key(request)
             return
@@ -71,7 +71,7 @@
         self._forward(request, queue, wanted, account_name)
 
     def _refuse_key(self, request):
-        reason = "unknown_key" if CallerRequests.key_of(request) else "no_key"
+        reason = "unknown_key" if CallerRequests.api_key_of(request) else "no_key"
         self._daemon.metrics.count("refusals", reason)
         CallerRequests.refuse(request, 401, reason=reason)
 
--- a/packages/thymefork-net/src/thymefork_net/http/call.py
+++ b/packages/thymefork-net/src/thymefork_net/http/call.py
@@ -18,7 +18,7 @@
     byte is sent; if it returns false, the call fails unsent. `wants_new_connection` is
     for retries: the idle connections may be unresponsive too. `first_body` replaces
     `body` in the first call on a connection, since the peer may have restarted;
-    `is_first` says which of the two was sent.
+    `is_first_on_connection` says which of the two was sent.
     Units: `deadline_ms` and `max_deadline_ms` are on the steady clock.
     """
 
@@ -30,7 +30,7 @@
     max_deadline_ms: float = 0.0
     body: bytes = b""
     first_body: bytes | None = None
-    is_first: bool = False
+    is_first_on_connection: bool = False
     headers: tuple[tuple[str, str], ...] = ()
     still_wanted: Callable | None = None
     wants_new_connection: bool = False
@@ -49,6 +49,6 @@
         return "\r\n".join(lines).encode("ascii") + b"\r\n\r\n" + body
 
     def _body_to_send(self):
-        if self.is_first and self.first_body is not None:
+        if self.is_first_on_connection and self.first_body is not None:
             return self.first_body
         return self.body
--- a/packages/thymefork-net/src/thymefork_net/http/client_connection.py
+++ b/packages/thymefork-net/src/thymefork_net/http/client_connection.py
@@ -43,7 +43,7 @@
         """Send a call on this connection."""
         self.call = call
         call.connection = self
-        call.is_first = not self._has_answered
+        call.is_first_on_connection = not self._has_answered
         self._sent_bytes = 0
         self._body = []
         self._complete = False
--- a/packages/thymefork-net/src/thymefork_net/peers/links.py
+++ b/packages/thymefork-net/src/thymefork_net/peers/links.py
@@ -111,7 +111,7 @@
         line.log(level, "link to {} closed: {}", link.name, reason)
         self._listener.on_link_broken(link)
 
-    def drop_silent(self, silence_ms):
+    def close_unresponsive(self, silence_ms):
         """Close the links that have received nothing for `silence_ms`."""
         received_after_ms = steady_ms() - silence_ms
         for link in self.all:
--- a/packages/thymefork-net/src/thymefork_net/steady.py
+++ b/packages/thymefork-net/src/thymefork_net/steady.py
@@ -59,13 +59,13 @@
         several of them. Calls that were missed during a pause are skipped.
         """
 
-        def again():
+        def fire():
             try:
                 action()
             finally:
-                self.at(self._next_ms(period_ms), again)
+                self.at(self._next_ms(period_ms), fire)
 
-        return self.at(self._next_ms(period_ms), again)
+        return self.at(self._next_ms(period_ms), fire)
 
     def _next_ms(self, period_ms):
         """Return the next multiple of a period."""
--- a/packages/thymefork-net/src/thymefork_net/tests/test_http.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_http.py
@@ -277,11 +277,11 @@
 def test_retry_on_a_new_connection_is_answered(
     loop, address, pool_with_stale_connections
 ):
-    first, again = [], []
+    first, retry = [], []
     pool_with_stale_connections.send(call(address, first))
-    pool_with_stale_connections.send(call(address, again, wants_new_connection=True))
-    loop.run_until(lambda: again)
-    assert again[0].status == 200 and not first
+    pool_with_stale_connections.send(call(address, retry, wants_new_connection=True))
+    loop.run_until(lambda: retry)
+    assert retry[0].status == 200 and not first
 
 
 def test_first_body_is_sent_in_the_first_call_on_a_connection(loop, address, served):
@@ -295,4 +295,4 @@
         requests[-1].answer(200, b"ok")
         loop.run_until(lambda number=number: len(answers) == number + 1)
     assert [request.body for request in requests] == [b"first", b"{}"]
-    assert [one.is_first for one in calls] == [True, False]
+    assert [one.is_first_on_connection for one in calls] == [True, False]
--- a/packages/thymefork-net/src/thymefork_net/tests/test_links.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_links.py
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def pair(loop):
-    made = []
+    pairs = []
     for name in ("a", "b"):
         listener = Listener()
         links = Links(
@@ -38,8 +38,8 @@
             address=free_address(),
             listener=listener,
         )
-        made.append((links, listener))
-    return made
+        pairs.append((links, listener))
+    return pairs
 
 
 def address_of(links):
@@ -83,7 +83,7 @@
     (a, link_listener), (b, _) = pair
     a.open_link(address_of(b))
     loop.run_until(lambda: all(link.connected for link in a.all))
-    a.drop_silent(-1.0)
+    a.close_unresponsive(-1.0)
     assert link_listener.broken
 
 
--- a/packages/thymefork-net/src/thymefork_net/tests/test_steady.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_steady_timers.py
@@ -36,13 +36,13 @@
 
 def test_steady_clock_includes_suspended_time(monkeypatch):
     """Leases, memberships and deadlines must expire while the machine is suspended."""
-    awake_ms, before_ms = time.monotonic() * 1000.0, steady_ms()
+    monotonic_ms, before_ms = time.monotonic() * 1000.0, steady_ms()
     read = time.clock_gettime
-    slept_s = {time.CLOCK_BOOTTIME: 5.0, time.CLOCK_REALTIME: 5.0}
+    suspended_s = {time.CLOCK_BOOTTIME: 5.0, time.CLOCK_REALTIME: 5.0}
     monkeypatch.setattr(
-        time, "clock_gettime", lambda clock: read(clock) + slept_s.get(clock, 0.0)
+        time, "clock_gettime", lambda clock: read(clock) + suspended_s.get(clock, 0.0)
     )
-    assert time.monotonic() * 1000.0 - awake_ms < 1_000.0
+    assert time.monotonic() * 1000.0 - monotonic_ms < 1_000.0
     assert 5_000.0 <= steady_ms() - before_ms < 6_000.0
 
 
@@ -50,9 +50,9 @@
     fired = []
     loop.timers.after(4_000.0, lambda: fired.append(1))
     read = time.clock_gettime
-    slept_s = {time.CLOCK_BOOTTIME: 5.0}
+    suspended_s = {time.CLOCK_BOOTTIME: 5.0}
     monkeypatch.setattr(
-        time, "clock_gettime", lambda clock: read(clock) + slept_s.get(clock, 0.0)
+        time, "clock_gettime", lambda clock: read(clock) + suspended_s.get(clock, 0.0)
     )
     loop.run_until(lambda: fired)
 
