--- a/packages/thymefork-net/src/thymefork_net/http/pool.py
+++ b/packages/thymefork-net/src/thymefork_net/http/pool.py
@@ -149,7 +149,12 @@
             call.on_answer(answer)
         except Exception:
             line = logger.opt(exception=True).bind(event="answer_handler_failed")
-            line.error("{} {} at {}", call.method, call.target, call.address)
+            line.error(
+                "answer handler failed: {} {} at {}",
+                call.method,
+                call.target,
+                call.address,
+            )
 
     def _dispatch_next(self, address):
         """Send the first queued call that is still wanted."""
