--- a/packages/thymefork-cli/src/thymefork_cli/explain.py
+++ b/packages/thymefork-cli/src/thymefork_cli/explain.py
@@ -186,11 +186,11 @@
 
 
 def _describe_wait(line):
-    lacks = "capacity"
+    awaited = "capacity"
     if is_at_limit(line):
-        lacks = f"its account {line['account']}, which was at its limit"
+        awaited = f"its account {line['account']}, which was at its limit"
     elif lacks_permission(line):
-        lacks = "permission of its policy"
+        awaited = "permission of its policy"
     elif is_beyond_share(line):
-        lacks = f"capacity: its account {line['account']} was beyond its share"
-    return f"{line['step']} waited {line['for_ms']} ms for {lacks}"
+        awaited = f"capacity: its account {line['account']} was beyond its share"
+    return f"{line['step']} waited {line['for_ms']} ms for {awaited}"
--- a/packages/thymefork-cli/src/thymefork_cli/losses/find.py
+++ b/packages/thymefork-cli/src/thymefork_cli/losses/find.py
@@ -84,8 +84,8 @@
 
 def _cause_if_lost(job, ended, last_line):
     if ended is not None and ended["state"] == "failed":
-        given_up = job.with_event("task_crashes_workers")
-        return Cause.CRASHES if given_up else Cause.FAILED
+        crash_lines = job.with_event("task_crashes_workers")
+        return Cause.CRASHES if crash_lines else Cause.FAILED
     if ended is not None:
         return None
     if not job.is_accepted:
