--- a/packages/thymefork-cli/src/thymefork_cli/main.py
+++ b/packages/thymefork-cli/src/thymefork_cli/main.py
@@ -183,9 +183,9 @@
             raise ThymeforkError("--plot requires --losses", step="explain")
     except ThymeforkError as failure:
         _fail(failure, json, INVALID_FILE)
-    story = explain_subject(names[0], lines)
-    _print(story.document(), json, lambda _: typer.echo(story.text()))
-    raise typer.Exit(0 if story.lines else UNKNOWN_SUBJECT)
+    timeline = explain_subject(names[0], lines)
+    _print(timeline.document(), json, lambda _: typer.echo(timeline.text()))
+    raise typer.Exit(0 if timeline.lines else UNKNOWN_SUBJECT)
 
 
 def _read_logs(paths):
