--- a/soak/src/thymefork_soak/faults.py
+++ b/soak/src/thymefork_soak/faults.py
@@ -9,7 +9,7 @@
 FIRST_OUTAGE_S = 6.0
 # After an outage nothing else goes wrong for so long that cancelled tasks, which the
 # next takeover would stop as well, are judged: contact, cancelling and stop.
-QUIET_S = 7.0
+RECOVERY_S = 7.0
 PROXY_MODES = ("silent", "one_way", "reset", "delay")
 
 
@@ -18,13 +18,13 @@
 
     def __init__(self, *, fleet, random, workers, rolls=None):
         self.done = []
-        self._rolls = rolls
+        self._restarts = rolls
         self._fleet = fleet
         self._random = random
         self._workers = workers
         self._running = set()
-        self._open = asyncio.Event()
-        self._open.set()
+        self._faults_allowed = asyncio.Event()
+        self._faults_allowed.set()
         self._kinds = (
             self._kill,
             self._kill,
@@ -43,7 +43,7 @@
         """Begin a fault every so often; they end by themselves."""
         while now() < until:
             await asyncio.sleep(self._random.uniform(0.4, 2.0))
-            await self._open.wait()
+            await self._faults_allowed.wait()
             kind = self._random.choice(self._kinds)
             self.done.append(f"{now():.1f} {kind.__name__.strip('_')}")
             task = asyncio.ensure_future(self._carry_out(kind))
@@ -64,29 +64,33 @@
             self.done.append(f"{began:.1f} outage until {now():.1f}")
             if now() >= until:
                 return
-            self._open.clear()
+            self._faults_allowed.clear()
             await self._until_idle()
-            await asyncio.sleep(QUIET_S)
-            self._open.set()
+            await asyncio.sleep(RECOVERY_S)
+            self._faults_allowed.set()
             await asyncio.sleep(random.uniform(0.5, 4.0))
 
     async def _outage(self, random):
         mode = random.choice(("silent", "silent", "busy", "reset"))
-        if self._rolls is not None:
-            await self._rolls.begin()
-        await self._fleet.steer("outage", {"mode": mode})
-        roll = asyncio.ensure_future(self._rolls.roll()) if self._rolls else None
+        if self._restarts is not None:
+            await self._restarts.drain_workers()
+        await self._fleet.control("outage", {"mode": mode})
+        restart_instance = (
+            asyncio.ensure_future(self._restarts.restart_instance())
+            if self._restarts
+            else None
+        )
         await asyncio.sleep(random.uniform(3.0, 8.0))
-        await self._fleet.steer("outage_end", {})
-        if roll is not None:
-            await roll
+        await self._fleet.control("outage_end", {})
+        if restart_instance is not None:
+            await restart_instance
 
     async def _carry_out(self, fault):
-        await self._fleet.steer("disturb", {"change": 1})
+        await self._fleet.control("disturb", {"change": 1})
         try:
             await fault()
         finally:
-            await self._fleet.steer("disturb", {"change": -1})
+            await self._fleet.control("disturb", {"change": -1})
 
     async def _until_idle(self):
         while self._running:
@@ -140,23 +144,23 @@
                 {"delay_ms": 120.0},
             )
         )
-        await self._fault_for("store", fault, self._random.uniform(0.5, 5.0))
+        await self._inject("store", fault, self._random.uniform(0.5, 5.0))
 
     async def _worker(self):
         fault = self._random.choice(
             ({"mode": "silent"}, {"mode": "reset"}, {"late_share": 0.3})
         )
         target = str(self._random.randrange(self._workers))
-        await self._fault_for(target, fault, self._random.uniform(0.5, 5.0))
+        await self._inject(target, fault, self._random.uniform(0.5, 5.0))
 
-    async def _fault_for(self, target, fault, for_s):
-        await self._fleet.steer("fault", {"target": target, **fault})
+    async def _inject(self, target, fault, for_s):
+        await self._fleet.control("fault", {"target": target, **fault})
         await asyncio.sleep(for_s)
-        await self._fleet.steer("fault", {"target": target})
+        await self._fleet.control("fault", {"target": target})
 
     async def _worker_crash(self):
         worker = self._random.randrange(self._workers)
-        await self._fleet.steer("crash", {"worker": worker})
+        await self._fleet.control("crash", {"worker": worker})
 
     async def _configure(self):
         await self._fleet.configure(self._random.randint(1, 3))
--- a/soak/src/thymefork_soak/standin/advice.py
+++ b/soak/src/thymefork_soak/standin/advice.py
@@ -2,7 +2,7 @@
 
 import orjson
 
-from .http_face import Face
+from .faulty_server import FaultyServer
 
 __all__ = ["Advice"]
 
@@ -18,7 +18,7 @@
 
     def __init__(self, *, loop, host, port, seed):
         self._loop = loop
-        self.face = Face(
+        self.faulty_server = FaultyServer(
             loop=loop, host=host, port=port, handle=self._on_call, seed=seed
         )
 
@@ -27,12 +27,12 @@
         rows = [
             [worker_id, f"t-{worker_id}"]
             for worker_id in body["workers"]
-            if (_sum_of_machine(worker_id) + sum(body["step"].encode())) % 3
+            if (_machine_checksum(worker_id) + sum(body["step"].encode())) % 3
         ]
         document = {"healthy": rows, "valid_ms": 2_500}
         self._loop.timers.after(DECISION_MS, lambda: answer(200, document))
 
 
-def _sum_of_machine(worker_id):
+def _machine_checksum(worker_id):
     machine, _, _ = worker_id.rpartition("-")
     return sum(machine.encode())
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -8,7 +8,7 @@
 
 from thymefork_soak.fleet import loopback_host
 from thymefork_soak.main import soak
-from thymefork_soak.standin.ledger import Ledger
+from thymefork_soak.standin.invariant_checker import InvariantChecker
 from thymefork_soak.standin.log import Group, Partition
 
 # Seeds that once showed a fault, with a line on its cause, stand here as well.
@@ -21,13 +21,15 @@
 
 @pytest.mark.parametrize(("seed", "seconds"), SEEDS)
 def test_the_promises_are_kept_among_faults(seed, seconds, tmp_path):
-    broken, seen = asyncio.run(soak(seed, seconds, 3, tmp_path, with_accounts=False))
-    assert not broken, (broken, seen, tmp_path)
+    violations, seen = asyncio.run(
+        soak(seed, seconds, 3, tmp_path, with_accounts=False)
+    )
+    assert not violations, (violations, seen, tmp_path)
 
 
 def test_accounts_keep_their_limits_and_keys_among_faults(tmp_path):
-    broken, seen = asyncio.run(soak(5001, 12.0, 3, tmp_path))
-    assert not broken, (broken, seen, tmp_path)
+    violations, seen = asyncio.run(soak(5001, 12.0, 3, tmp_path))
+    assert not violations, (violations, seen, tmp_path)
 
 
 # 8002: a worker away for long answered before it was listed again, and its crash was
@@ -36,15 +38,15 @@
 def test_promises_are_kept_where_workers_leave_and_owners_are_rolled_in_outages(
     seed, tmp_path
 ):
-    broken, seen = asyncio.run(soak(seed, 12.0, 3, tmp_path, with_rolls=True))
-    assert not broken, (broken, seen, tmp_path)
+    violations, seen = asyncio.run(soak(seed, 12.0, 3, tmp_path, with_restarts=True))
+    assert not violations, (violations, seen, tmp_path)
 
 
 def test_promises_are_kept_by_instances_and_workers_of_unlike_size(tmp_path):
-    broken, seen = asyncio.run(
-        soak(9301, 15.0, 5, tmp_path, with_rolls=True, is_uneven=True)
+    violations, seen = asyncio.run(
+        soak(9301, 15.0, 5, tmp_path, with_restarts=True, is_heterogeneous=True)
     )
-    assert not broken, (broken, seen, tmp_path)
+    assert not violations, (violations, seen, tmp_path)
 
 
 def test_soaks_with_like_seeds_have_addresses_of_their_own():
@@ -61,19 +63,21 @@
     def used_cpu(self):
         return self._used
 
-    def counted_cpu(self, now_ms):
+    def effective_cpu(self, now_ms):
         return 10
 
 
-def ledger_of_one_job():
-    return Ledger(jobs={"j": {"spec": "s", "steps": [{"count": 1, "cpu": 1}]}})
+def checker_of_one_job():
+    return InvariantChecker(
+        jobs={"j": {"spec": "s", "steps": [{"count": 1, "cpu": 1}]}}
+    )
 
 
 def test_the_ledger_sees_two_runs_at_once():
-    ledger = ledger_of_one_job()
-    ledger.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
-    ledger.on_start(Worker(), "j.0.0.0", 2, "s", 0.0)
-    assert ledger.broken and ledger.broken[0].startswith("TWICE")
+    checker = checker_of_one_job()
+    checker.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
+    checker.on_start(Worker(), "j.0.0.0", 2, "s", 0.0)
+    assert checker.violations and checker.violations[0].startswith("TWICE")
 
 
 # From an incident: tasks ran for a minute after their job's cancel was acknowledged.
@@ -85,36 +89,36 @@
 def test_the_ledger_sees_tasks_that_outlast_their_cancelled_job(
     acknowledged_ms, fault_ended_ms, due_ms
 ):
-    ledger = ledger_of_one_job()
-    ledger.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
-    ledger.on_fault(1, 4_000)
-    ledger.on_fault(-1, fault_ended_ms)
-    ledger.judge_cancelled(60_000)
-    ledger.on_cancelled("j", acknowledged_ms)
-    ledger.on_cancelled("j", 50_000)
-    ledger.judge_cancelled(due_ms)
-    assert not ledger.broken
-    ledger.judge_cancelled(due_ms + 1)
-    ledger.judge_cancelled(due_ms + 101)
-    assert [line.split(":")[0] for line in ledger.broken] == ["UNASKED"]
+    checker = checker_of_one_job()
+    checker.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
+    checker.on_fault(1, 4_000)
+    checker.on_fault(-1, fault_ended_ms)
+    checker.check_cancelled(60_000)
+    checker.on_cancelled("j", acknowledged_ms)
+    checker.on_cancelled("j", 50_000)
+    checker.check_cancelled(due_ms)
+    assert not checker.violations
+    checker.check_cancelled(due_ms + 1)
+    checker.check_cancelled(due_ms + 101)
+    assert [line.split(":")[0] for line in checker.violations] == ["UNASKED"]
 
 
 def test_the_ledger_counts_no_time_under_a_fault_and_no_task_that_has_ended():
-    ledger = ledger_of_one_job()
-    ledger.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
-    ledger.on_cancelled("j", 0.0)
-    ledger.on_fault(1, 1_000)
-    ledger.on_fault(1, 1_500)
-    ledger.on_fault(-1, 2_000)
-    ledger.judge_cancelled(60_000)
-    ledger.on_fault(-1, 60_000)
-    ledger.on_end(Worker(), "j.0.0.0", "stopped")
-    ledger.judge_cancelled(120_000)
-    assert not ledger.broken
+    checker = checker_of_one_job()
+    checker.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
+    checker.on_cancelled("j", 0.0)
+    checker.on_fault(1, 1_000)
+    checker.on_fault(1, 1_500)
+    checker.on_fault(-1, 2_000)
+    checker.check_cancelled(60_000)
+    checker.on_fault(-1, 60_000)
+    checker.on_end(Worker(), "j.0.0.0", "stopped")
+    checker.check_cancelled(120_000)
+    assert not checker.violations
 
 
 @pytest.mark.parametrize(
-    ("fault_ended_ms", "started_ms", "broken"),
+    ("fault_ended_ms", "started_ms", "violations"),
     [
         (5_000, 13_000, False),
         (5_000, 13_001, True),
@@ -123,14 +127,18 @@
         (None, 30_000, False),
     ],
 )
-def test_the_ledger_sees_starts_of_a_cancelled_job(fault_ended_ms, started_ms, broken):
-    ledger = ledger_of_one_job()
-    ledger.on_fault(1, 4_000)
+def test_the_ledger_sees_starts_of_a_cancelled_job(
+    fault_ended_ms, started_ms, violations
+):
+    checker = checker_of_one_job()
+    checker.on_fault(1, 4_000)
     if fault_ended_ms is not None:
-        ledger.on_fault(-1, fault_ended_ms)
-    ledger.on_cancelled("j", 10_000)
-    ledger.on_start(Worker(), "j.0.0.0", 1, "s", started_ms)
-    assert [line.split(":")[0] for line in ledger.broken] == ["UNASKED"] * broken
+        checker.on_fault(-1, fault_ended_ms)
+    checker.on_cancelled("j", 10_000)
+    checker.on_start(Worker(), "j.0.0.0", 1, "s", started_ms)
+    assert [line.split(":")[0] for line in checker.violations] == [
+        "UNASKED"
+    ] * violations
 
 
 def test_the_store_fences_and_repeats():
@@ -164,61 +172,61 @@
 
 
 def test_the_ledger_sees_a_task_started_again_after_workers_have_crashed_under_it():
-    ledger = ledger_of_one_job()
-    ledger.crashes_after_ms["j.0.0.0"] = 10.0
+    checker = checker_of_one_job()
+    checker.crashes_after_ms["j.0.0.0"] = 10.0
     for run_id in range(1, 6):
-        ledger.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
-        ledger.on_end(Worker(), "j.0.0.0", "crashed")
-        ledger.on_crash({"j.0.0.0"})
-    assert not ledger.broken
-    ledger.on_start(Worker(), "j.0.0.0", 6, "s", 0.0)
-    assert [line.split(":")[0] for line in ledger.broken] == ["BUDGET"]
+        checker.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
+        checker.on_end(Worker(), "j.0.0.0", "crashed")
+        checker.on_crash({"j.0.0.0"})
+    assert not checker.violations
+    checker.on_start(Worker(), "j.0.0.0", 6, "s", 0.0)
+    assert [line.split(":")[0] for line in checker.violations] == ["BUDGET"]
 
 
 def test_the_ledger_blames_no_task_for_a_crash_that_is_not_its_own():
-    ledger = ledger_of_one_job()
+    checker = checker_of_one_job()
     for run_id in range(1, 9):
-        ledger.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
-        ledger.on_end(Worker(), "j.0.0.0", "crashed")
-        ledger.on_crash({"j.0.0.0"})
-    assert not ledger.broken
+        checker.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
+        checker.on_end(Worker(), "j.0.0.0", "crashed")
+        checker.on_crash({"j.0.0.0"})
+    assert not checker.violations
 
 
-@pytest.mark.parametrize(("used", "broken"), [(10, []), (11, ["LIMIT"])])
-def test_the_ledger_sees_a_start_over_the_room_that_counts(used, broken):
-    ledger = ledger_of_one_job()
-    ledger.on_start(Worker(used), "j.0.0.0", 1, "s", 0.0)
-    assert [line.split(":")[0] for line in ledger.broken] == broken
+@pytest.mark.parametrize(("used", "violations"), [(10, []), (11, ["LIMIT"])])
+def test_the_ledger_sees_a_start_over_the_room_that_counts(used, violations):
+    checker = checker_of_one_job()
+    checker.on_start(Worker(used), "j.0.0.0", 1, "s", 0.0)
+    assert [line.split(":")[0] for line in checker.violations] == violations
 
 
-def ledger_of_an_account(*limits):
-    ledger = ledger_of_one_job()
-    ledger.jobs["j"]["steps"] = [{"count": 9, "cpu": 100}]
-    ledger.accounts["j"] = "a"
+def checker_of_an_account(*limits):
+    checker = checker_of_one_job()
+    checker.jobs["j"]["steps"] = [{"count": 9, "cpu": 100}]
+    checker.accounts["j"] = "a"
     for at_ms, cpu_milli in limits:
-        ledger.on_limits({"a": cpu_milli}, at_ms)
-    return ledger
+        checker.on_limits({"a": cpu_milli}, at_ms)
+    return checker
 
 
-def starts(ledger, count, now_ms):
+def starts(checker, count, now_ms):
     for index in range(count):
-        ledger.on_start(Worker(), f"j.0.0.{index}", 1, "s", now_ms)
-    return [line.split(":")[0] for line in ledger.broken]
+        checker.on_start(Worker(), f"j.0.0.{index}", 1, "s", now_ms)
+    return [line.split(":")[0] for line in checker.violations]
 
 
 # A limit of 200 may be passed by a tenth and one task: at 400 it is broken.
-@pytest.mark.parametrize(("count", "broken"), [(3, []), (4, ["QUOTA"])])
-def test_the_ledger_sees_an_account_over_its_limit(count, broken):
-    assert starts(ledger_of_an_account((0.0, 200)), count, 9_000.0) == broken
+@pytest.mark.parametrize(("count", "violations"), [(3, []), (4, ["QUOTA"])])
+def test_the_ledger_sees_an_account_over_its_limit(count, violations):
+    assert starts(checker_of_an_account((0.0, 200)), count, 9_000.0) == violations
 
 
 @pytest.mark.parametrize(
-    ("started_ms", "broken"), [(13_000.0, []), (13_001.0, ["QUOTA"])]
+    ("started_ms", "violations"), [(13_000.0, []), (13_001.0, ["QUOTA"])]
 )
-def test_an_older_limit_counts_while_it_may_be_in_force(started_ms, broken):
-    ledger = ledger_of_an_account((0.0, 900), (10_000.0, 200))
-    assert starts(ledger, 4, started_ms) == broken
+def test_an_older_limit_counts_while_it_may_be_in_force(started_ms, violations):
+    checker = checker_of_an_account((0.0, 900), (10_000.0, 200))
+    assert starts(checker, 4, started_ms) == violations
 
 
 def test_an_account_without_a_limit_breaks_none():
-    assert not starts(ledger_of_an_account((0.0, 0)), 9, 9_000.0)
+    assert not starts(checker_of_an_account((0.0, 0)), 9, 9_000.0)
