--- a/bench/cell_costs.py
+++ b/bench/cell_costs.py
@@ -12,7 +12,7 @@
 from attrs import evolve
 
 from thymefork_cells.effects import StartRun
-from thymefork_cells.specs import AccountPolicy, RoomLimit
+from thymefork_cells.specs import AccountPolicy, ResourceLimit
 from thymefork_cells.tests.harness import Harness, job_spec
 
 __all__ = ["main", "measure"]
@@ -77,7 +77,7 @@
 
 def _with_accounts(configuration, count):
     """Return the configuration with accounts that share the whole room twice over."""
-    limit = RoomLimit(cpu_milli=2 * max(SIZES) * 16_000 // count + TASKS * 3_600)
+    limit = ResourceLimit(cpu_milli=2 * max(SIZES) * 16_000 // count + TASKS * 3_600)
     accounts = tuple(
         AccountPolicy(name=f"a{number}", weight=1.0, limit=limit)
         for number in range(count)
--- a/bench/experiments.py
+++ b/bench/experiments.py
@@ -19,14 +19,14 @@
 import typer
 from attrs import frozen
 
-from thymefork_cells.accounts import shares
-from thymefork_cells.advice import choice as advice_choice
-from thymefork_cells.estimates import images, worker_speeds
-from thymefork_cells.placing import (
+from thymefork_cells.accounts import job_rate_shares
+from thymefork_cells.advice import worker_selection as advice_choice
+from thymefork_cells.estimates import image_durations, worker_speeds
+from thymefork_cells.placement import (
     placer,
     preemptor,
     reservations,
-    speed_fit,
+    speed_scorer,
     step_order,
 )
 
@@ -37,7 +37,7 @@
 __all__ = ["VARIANTS", "Outcome", "compare", "main", "play"]
 
 
-def _emptiest_first(spec, worker, speed_fit=None):
+def _emptiest_first(spec, worker, speed_scorer=None):
     """Rate the emptiest worker best, rather than the tightest fit."""
     entry = worker.entry
     free = worker.free_cpu_milli / max(1, entry.cpu_milli)
@@ -57,15 +57,15 @@
 
 def _by_class_alone(fit, worker, *, is_remote=False):
     """Rate by speed alone: the first queue takes fast workers, others slow ones."""
-    is_first = fit._fast_penalty == speed_fit.FAST_PENALTY_OF_FIRST
-    points = speed_fit.FAST_PENALTY * log(worker.slowness)
-    return points if is_first else -points
+    is_most_urgent = fit._fast_penalty == speed_scorer.FAST_PENALTY_MOST_URGENT
+    points = speed_scorer.FAST_PENALTY * log(worker.slowness)
+    return points if is_most_urgent else -points
 
 
 # What a variant changes: module or class, name and value.
 VARIANTS = {
     "as it is": (),
-    "no shares": ((shares.Shares, "admits", lambda *args: True),),
+    "no shares": ((job_rate_shares.JobRateShares, "admits", lambda *args: True),),
     "by jobs a second alone": (
         (step_order.StepOrder, "_by_use", share_orders.jobs_alone),
     ),
@@ -85,8 +85,8 @@
     "in time first, over priorities": (
         (step_order.StepOrder, "_by_use", load_states.order_over_priorities),
     ),
-    "shares of 0.5 s": ((shares, "BURST_MS", 500.0),),
-    "shares of 10 s": ((shares, "BURST_MS", 10_000.0),),
+    "shares of 0.5 s": ((job_rate_shares, "BURST_MS", 500.0),),
+    "shares of 10 s": ((job_rate_shares, "BURST_MS", 10_000.0),),
     "shortest first": ((step_order.StepOrder, "steps", _shortest_first),),
     "emptiest worker first": ((placer, "fit_score", _emptiest_first),),
     "nobody makes way": ((preemptor.Preemptor, "make_room", lambda *args: False),),
@@ -96,9 +96,11 @@
     "speeds are not learned": (
         (worker_speeds.WorkerSpeeds, "learn", lambda *args, **fields: False),
     ),
-    "by class of speed alone": ((speed_fit.SpeedFit, "rate", _by_class_alone),),
-    "fast room is not kept": ((speed_fit, "FAST_PENALTY", 0.0),),
-    "callers' estimates alone": ((images.ImageTimes, "learn", lambda *args: None),),
+    "by class of speed alone": ((speed_scorer.SpeedScorer, "rate", _by_class_alone),),
+    "fast room is not kept": ((speed_scorer, "FAST_PENALTY", 0.0),),
+    "callers' estimates alone": (
+        (image_durations.ImageDurations, "learn", lambda *args: None),
+    ),
     "calls for little more than needed": ((advice_choice, "MARGIN", 1.2),),
     "calls for three times what is needed": ((advice_choice, "MARGIN", 3.0),),
     "calls grow slowly": ((advice_choice, "WIDER_AFTER_MS", 2_000.0),),
--- a/bench/load_play.py
+++ b/bench/load_play.py
@@ -8,7 +8,7 @@
     AccountPolicy,
     Configuration,
     QueuePolicy,
-    RoomLimit,
+    ResourceLimit,
 )
 from thymefork_cells.tests.harness import Harness, job_spec
 from thymefork_cells.tests.virtual_worker import VirtualWorker
@@ -120,7 +120,7 @@
             AccountPolicy(
                 name=account.name,
                 weight=account.weight,
-                limit=RoomLimit(cpu_milli=account.limit_cpu_milli),
+                limit=ResourceLimit(cpu_milli=account.limit_cpu_milli),
             )
             for account in self._load.accounts
         )
--- a/bench/load_states.py
+++ b/bench/load_states.py
@@ -1,6 +1,6 @@
 """A trial: past full load, steps that can still be in time go first."""
 
-from thymefork_cells.placing.step_order import StepOrder
+from thymefork_cells.placement.step_order import StepOrder
 
 __all__ = ["LoadState", "order_over_priorities", "order_past_full_load"]
 
@@ -37,7 +37,7 @@
     return sum(
         len(step.waiting)
         * step.spec.reserved_cpu_milli
-        * order._images.expected_ms(step.spec)
+        * order._durations.expected_ms(step.spec)
         for step in steps
     )
 
@@ -48,13 +48,13 @@
     for worker in order._context.workers.values():
         room += worker.entry.cpu_milli * span_ms
         for run in worker.runs.values():
-            left_ms = min(span_ms, order._images.left_ms(run, now_ms))
+            left_ms = min(span_ms, order._durations.left_ms(run, now_ms))
             room -= run.step.reserved_cpu_milli * left_ms
     return room
 
 
 def _can_be_in_time(order, step, slowness, now_ms):
-    chance = order._images.late_chance(step, now_ms)
+    chance = order._durations.lateness_probability(step, now_ms)
     if chance is None:
         return True
     return chance._usual_ms * slowness <= chance._left_ms
--- a/bench/share_orders.py
+++ b/bench/share_orders.py
@@ -21,8 +21,10 @@
 
 def all_by_use(order, steps, now_ms):
     """Order all steps by what their accounts use, whatever jobs a second they sent."""
-    order._used_shares.note_wanting({step.job.account_name for step in steps}, now_ms)
-    return order._standing_first(order._used_shares.in_turns(steps), now_ms)
+    order._dominant_shares.record_waiting(
+        {step.job.account_name for step in steps}, now_ms
+    )
+    return order._starved_first(order._dominant_shares.fair_order(steps), now_ms)
 
 
 class _FairQueue:
@@ -80,12 +82,14 @@
 
 def by_use_in_a_priority(order, steps, now_ms):
     """Order what is within the shares by use, too, but behind the queue's priority."""
-    shares = order._used_shares
-    shares.note_wanting({step.job.account_name for step in steps if step.ready}, now_ms)
+    shares = order._dominant_shares
+    shares.record_waiting(
+        {step.job.account_name for step in steps if step.ready}, now_ms
+    )
     groups = {}
     for step in steps:
         beyond = step.job.is_beyond_share
         priority = 0 if beyond else order._context.queue(step.job).priority
         groups.setdefault((beyond, priority), []).append(step)
-    ranked = chain.from_iterable(shares.in_turns(group) for group in groups.values())
-    return order._standing_first(list(ranked), now_ms)
+    ranked = chain.from_iterable(shares.fair_order(group) for group in groups.values())
+    return order._starved_first(list(ranked), now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/__init__.py
@@ -1,27 +1,27 @@
 """Decisions of a cell, without I/O: the same code runs live and in tests."""
 
 from .cell import Cell
-from .context import STALE_MS
-from .estimates.speed_news import TELL_AGAIN_MS
+from .context import WORKER_LIST_MAX_AGE_MS
+from .estimates.speed_announcements import REANNOUNCE_MS
 from .estimates.worker_speeds import LearnedSpeed
 from .hashing import cell_of
 from .jobs.codec import decode_spec, encode_spec
 from .reports import EndRow, HeardEnd, RunRow, WorkerReport
 from .state import LONG_CALL_MS, AdviceSlots
-from .workers.orders import OrderAnswer, Refusal
+from .workers.commands import CommandAnswer, Refusal
 
 __all__ = [
+    "LONG_CALL_MS",
+    "REANNOUNCE_MS",
+    "WORKER_LIST_MAX_AGE_MS",
     "AdviceSlots",
     "Cell",
+    "CommandAnswer",
     "EndRow",
     "HeardEnd",
-    "LONG_CALL_MS",
     "LearnedSpeed",
-    "OrderAnswer",
     "Refusal",
     "RunRow",
-    "STALE_MS",
-    "TELL_AGAIN_MS",
     "WorkerReport",
     "cell_of",
     "decode_spec",
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/__init__.py
@@ -1,9 +1,9 @@
 """Client accounts: their limits and shares."""
 
+from .dominant_shares import DominantShares
+from .job_rate_shares import JobRateShares
 from .part_exchange import PartExchange
 from .parts_ledger import PartsLedger
 from .quotas import Quotas
-from .shares import Shares
-from .used_shares import UsedShares
 
-__all__ = ["PartExchange", "PartsLedger", "Quotas", "Shares", "UsedShares"]
+__all__ = ["DominantShares", "JobRateShares", "PartExchange", "PartsLedger", "Quotas"]
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/demand.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/account_demand.py
@@ -6,26 +6,26 @@
 
 from ..state import AccountUsage
 
-__all__ = ["Demand"]
+__all__ = ["AccountDemand"]
 
 
 @define(kw_only=True, eq=False)
-class Demand:
+class AccountDemand:
     """Add up the room of an account's runs and of its work whose turn has come.
 
-    `first` is the room with which the first step that its limit holds back could begin,
+    `first_blocked` is the room with which the first step that its limit holds back could begin,
     None if it holds back none; `since_ms` is when the turn of that step came.
     """
 
     wanted: AccountUsage
-    first: AccountUsage | None = None
+    first_blocked: AccountUsage | None = None
     since_ms: float = float("inf")
 
     def add(self, step, usage, left):
         """Add a step, of which its account may start so many beside what it runs."""
         self.wanted.add(step.spec, len(step.waiting))
         begins = step.spec.count if step.spec.gang else 1
-        if left < begins and self.first is None and step.waiting:
-            self.first = copy(usage)
-            self.first.add(step.spec, begins)
+        if left < begins and self.first_blocked is None and step.waiting:
+            self.first_blocked = copy(usage)
+            self.first_blocked.add(step.spec, begins)
             self.since_ms = step.ready_ms
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/borrowed_account.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/borrowed_account.py
@@ -19,10 +19,10 @@
     is_covering: bool = False
     rounds: int = 0
     due_ms: float = 0.0
-    wait_ms: float = 0.0
-    asked: LimitParts = LimitParts()
-    asked_ms: float = float("-inf")
-    paused_until_ms: float = 0.0
+    retry_interval_ms: float = 0.0
+    requested: LimitParts = LimitParts()
+    requested_ms: float = float("-inf")
+    backoff_until_ms: float = 0.0
     unmet_since_ms: float | None = None
     idle: LimitParts | None = None
     idle_since_ms: float = 0.0
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/used_shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/dominant_shares.py
@@ -7,14 +7,14 @@
 
 from ..state import AccountUsage
 
-__all__ = ["UsedShares"]
+__all__ = ["DominantShares"]
 
 # What an account held counts for as long as a handful of short tasks run: it makes up
 # for unlike lengths of tasks, and what was lent is forgotten soon after.
-MEMORY_MS = 2_000.0
+USAGE_DECAY_MS = 2_000.0
 # An account that has wanted room and held none for so long goes first: half of what
 # callers would take for a standstill.
-STANDSTILL_MS = 1_500.0
+STARVATION_MS = 1_500.0
 # The room changes with workers that come and go, which is seldom beside plans.
 ROOM_MS = 500.0
 
@@ -35,7 +35,7 @@
         return self.usage.cpu_milli > 0 or self.usage.memory_mb > 0
 
 
-class UsedShares:
+class DominantShares:
     """Rank accounts by the room that they use over their weight.
 
     What an account uses is the larger of its parts of the processors and of the memory
@@ -52,7 +52,7 @@
         self._room_due_ms = float("-inf")
 
     @property
-    def follows_any(self):
+    def tracks_any(self):
         """Tell whether any account has a weight and live jobs."""
         return bool(self._accounts)
 
@@ -83,7 +83,7 @@
         account = self._accounts.get(name)
         if account is None:
             return _Account(usage=usage, weight=policy.weight, used=held, at_ms=now_ms)
-        kept = exp(-(now_ms - account.at_ms) / MEMORY_MS)
+        kept = exp(-(now_ms - account.at_ms) / USAGE_DECAY_MS)
         account.used = held + (account.used - held) * kept
         account.weight, account.at_ms = policy.weight, now_ms
         return account
@@ -93,7 +93,7 @@
         wants = ((cpu_milli, self._cpu_milli), (memory_mb, self._memory_mb))
         return max((held / room for held, room in wants if room), default=0.0)
 
-    def follows(self, account_name):
+    def tracks(self, account_name):
         """Tell whether an account has a weight and live jobs."""
         return account_name in self._accounts
 
@@ -104,7 +104,7 @@
 
     # Standing still ----------------------------------------------------------
 
-    def note_wanting(self, account_names, now_ms):
+    def record_waiting(self, account_names, now_ms):
         """Note which accounts have tasks to start now."""
         for name, account in self._accounts.items():
             if name not in account_names or account.holds_any:
@@ -112,16 +112,16 @@
             elif account.wants_since_ms is None:
                 account.wants_since_ms = now_ms
 
-    def stands_still(self, account_name, now_ms):
+    def is_starved(self, account_name, now_ms):
         """Tell whether an account has wanted room for long and held none."""
         account = self._accounts.get(account_name)
         if account is None or account.wants_since_ms is None:
             return False
-        return now_ms - account.wants_since_ms >= STANDSTILL_MS
+        return now_ms - account.wants_since_ms >= STARVATION_MS
 
     # Order -------------------------------------------------------------------
 
-    def in_turns(self, steps):
+    def fair_order(self, steps):
         """Return the steps by turns: next is always the account that uses the least.
 
         What a step would hold counts for its account from its turn on. The steps of an
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/job_rate_shares.py
@@ -1,13 +1,13 @@
 """Whose jobs go first once all is full: those within their account's share."""
 
-__all__ = ["Shares"]
+__all__ = ["JobRateShares"]
 
 # An account may send so much of its share at once, beyond an even flow, and still be
 # within it: callers come in groups, and a short group takes nothing from anyone.
 BURST_MS = 2_000.0
 
 
-class Shares:
+class JobRateShares:
     """Tell of each accepted job whether its account is within its share.
 
     The share is a rate of jobs, metered as cells are on leased lines: by the moment at
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
@@ -2,9 +2,9 @@
 
 from functools import singledispatchmethod
 
-from ..effects import AskParts, GrantParts, HoldParts
-from .borrowing import Borrowing
-from .lending import Lending
+from ..effects import GrantParts, ReportHeldParts, RequestParts
+from .part_borrower import PartBorrower
+from .part_lender import PartLender
 from .part_needs import PartNeeds
 
 __all__ = ["PartExchange"]
@@ -25,19 +25,19 @@
             "quotas": quotas,
             "needs": PartNeeds(context=context, ledger=ledger, quotas=quotas),
         }
-        self._lending = Lending(**parts)
-        self._borrowing = Borrowing(**parts)
+        self._lending = PartLender(**parts)
+        self._borrowing = PartBorrower(**parts)
         self._review_due_ms = 0.0
 
-    def turn(self, now_ms):
+    def run_cycle(self, now_ms):
         """Ask, lend and give back; return when the next turn is due at the latest."""
         if self._context.cell_count == 1 or not self._quotas.has_limits:
             return float("inf")
-        self._borrowing.turn(now_ms)
+        self._borrowing.run_cycle(now_ms)
         if now_ms >= self._review_due_ms:
             self._review_due_ms = now_ms + REVIEW_MS
-            self._borrowing.review(now_ms, self._lending.has_asks)
-            self._lending.turn(now_ms)
+            self._borrowing.review(now_ms, self._lending.has_requests)
+            self._lending.run_cycle(now_ms)
         return self._borrowing.due_ms(now_ms)
 
     @singledispatchmethod
@@ -46,14 +46,14 @@
         raise TypeError(f"{type(message).__name__} is no message on parts")
 
     @on_message.register
-    def _on_ask(self, ask: AskParts, *, now_ms):
-        self._borrowing.on_recall(ask, now_ms)
-        self._lending.on_ask(ask, now_ms)
+    def _on_ask(self, request: RequestParts, *, now_ms):
+        self._borrowing.on_recall(request, now_ms)
+        self._lending.on_request(request, now_ms)
 
     @on_message.register
     def _on_grant(self, grant: GrantParts, *, now_ms):
         self._borrowing.on_grant(grant, now_ms)
 
     @on_message.register
-    def _on_hold(self, hold: HoldParts, *, now_ms):
+    def _on_hold(self, hold: ReportHeldParts, *, now_ms):
         self._lending.on_hold(hold, now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/lending.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_lender.py
@@ -7,7 +7,7 @@
 from ..effects import GrantParts
 from ..specs import PARTS_PER_CELL, LimitParts
 
-__all__ = ["Lending"]
+__all__ = ["PartLender"]
 
 # An ask is renewed every two seconds at the latest while it holds; one that is older
 # than twice that is of an owner that is cut off or gone.
@@ -21,7 +21,7 @@
 OWN = LimitParts.all_of(PARTS_PER_CELL)
 
 
-class Lending:
+class PartLender:
     """Lend the cell's own parts that its work doesn't want.
 
     An ask is kept for a while and served as parts become idle. What lets a step begin
@@ -40,19 +40,19 @@
         self._epochs = {}  # the latest owner heard of each cell
         self._remind_due_ms = context.taken_over_ms
 
-    def on_ask(self, ask, now_ms):
+    def on_request(self, request, now_ms):
         """Lend what can be lent now, and keep what is missing in mind."""
-        if not self._is_latest(ask):
+        if not self._is_latest(request):
             return
-        waiting = self._asks.setdefault(ask.account, {})
-        waiting.pop(ask.borrower, None)
-        if ask.least or ask.most:
-            waiting[ask.borrower] = (ask, now_ms + ASK_KEPT_MS)
-        if self._readdress(ask, now_ms):
-            waiting.pop(ask.borrower, None)  # it asks anew by what it then holds
-        lent_to = self.serve(ask.account, now_ms)
-        if ask.borrower in waiting and ask.borrower not in lent_to:
-            self._refuse(ask, now_ms)
+        waiting = self._asks.setdefault(request.account, {})
+        waiting.pop(request.borrower, None)
+        if request.least or request.most:
+            waiting[request.borrower] = (request, now_ms + ASK_KEPT_MS)
+        if self._readdress(request, now_ms):
+            waiting.pop(request.borrower, None)  # it asks anew by what it then holds
+        lent_to = self.serve(request.account, now_ms)
+        if request.borrower in waiting and request.borrower not in lent_to:
+            self._refuse(request, now_ms)
 
     def on_hold(self, hold, now_ms):
         """Take back what a borrower counts on no more."""
@@ -63,25 +63,25 @@
         if loan is None or loan.grant != grant:
             self._context.count("limit_parts", "late_hold")
             return
-        returned = self._ledger.take_back(hold.account, hold.borrower, hold.parts)
+        returned = self._ledger.reduce_loan(hold.account, hold.borrower, hold.parts)
         if returned:
             self._context.count("limit_parts", "came_back")
             self.serve(hold.account, now_ms)
 
-    def turn(self, now_ms):
+    def run_cycle(self, now_ms):
         """Serve the asks that wait; tell what is lent once more when it is due."""
         for name in list(self._asks):
             self.serve(name, now_ms)
         if now_ms >= self._remind_due_ms:
             self._remind_due_ms = now_ms + REMIND_MS
             for name in self._ledger.lent_accounts:
-                self.remind(name, now_ms)
+                self.resend_grants(name, now_ms)
 
-    def has_asks(self, name):
+    def has_requests(self, name):
         """Tell whether another cell waits for parts of an account."""
         return bool(self._asks.get(name))
 
-    def remind(self, name, now_ms):
+    def resend_grants(self, name, now_ms):
         """Tell each borrower of an account what is lent to it."""
         for borrower, loan in self._ledger.loans(name).items():
             self._tell(name, borrower, loan, now_ms)
@@ -113,9 +113,11 @@
         asks = self._live_asks(name, now_ms)
         gifts = self._gifts(name, asks, now_ms)
         for borrower, gift in gifts.items():
-            ask, until_ms = self._asks[name][borrower]
+            request, until_ms = self._asks[name][borrower]
             self._lend(name, borrower, gift, now_ms)
-            left = evolve(ask, least=ask.least.less(gift), most=ask.most.less(gift))
+            left = evolve(
+                request, least=request.least.minus(gift), most=request.most.minus(gift)
+            )
             self._asks[name][borrower] = (left, until_ms)
             if not left.least and not left.most:
                 del self._asks[name][borrower]
@@ -125,10 +127,10 @@
     def _promise(self, name):
         """Start nothing by what is to cover runs of other cells as runs end here."""
         promised = NONE
-        for ask, _ in self._asks.get(name, {}).values():
-            if ask.covers_runs:
-                promised += ask.least
-        self._ledger.promise(name, promised)
+        for request, _ in self._asks.get(name, {}).values():
+            if request.covers_runs:
+                promised += request.least
+        self._ledger.set_reserved(name, promised)
 
     def _live_asks(self, name, now_ms):
         """Return the asks that still wait, the longest waiter's first."""
@@ -138,47 +140,53 @@
                 del waiting[borrower]
         if not waiting:
             self._asks.pop(name, None)
-        return sorted((ask for ask, _ in waiting.values()), key=attrgetter("order"))
+        return sorted(
+            (request for request, _ in waiting.values()), key=attrgetter("order")
+        )
 
     def _gifts(self, name, asks, now_ms):
         """Return what is lent now, by borrower."""
         gifts = {}
         given = NONE
-        for ask in asks:
-            gift = ask.least.at_most(self._idle(name, now_ms, ask).less(given))
-            gifts[ask.borrower] = gift
+        for request in asks:
+            gift = request.least.elementwise_min(
+                self._idle(name, now_ms, request).minus(given)
+            )
+            gifts[request.borrower] = gift
             given += gift
         if asks:
-            spare = self._idle(name, now_ms).less(KEPT).less(given).split(len(asks))
-            for ask in asks:
-                gift = gifts[ask.borrower]
-                gifts[ask.borrower] = gift + ask.most.less(gift).at_most(spare)
+            spare = self._idle(name, now_ms).minus(KEPT).minus(given).split(len(asks))
+            for request in asks:
+                gift = gifts[request.borrower]
+                gifts[request.borrower] = gift + request.most.minus(
+                    gift
+                ).elementwise_min(spare)
         return {borrower: gift for borrower, gift in gifts.items() if gift}
 
-    def _idle(self, name, now_ms, ask=None):
+    def _idle(self, name, now_ms, request=None):
         """Return what is lent to an ask rather than used here.
 
         What is borrowed goes back to its lenders and isn't lent once more.
         """
-        if not self._needs.knows(name):
+        if not self._needs.has_known_limit(name):
             return NONE
-        gives_way = ask is not None and self._goes_first(ask, now_ms)
+        gives_way = request is not None and self._goes_first(request, now_ms)
         wanted = self._needs.used(name) if gives_way else self._needs.wanted(name)
-        return self._ledger.unlent(name).less(wanted)
+        return self._ledger.unlent(name).minus(wanted)
 
-    def _goes_first(self, ask, now_ms):
+    def _goes_first(self, request, now_ms):
         """Tell whether what waits here gives way to an ask's step."""
-        name = ask.account
-        first = self._needs.to_begin(name)
-        if ask.covers_runs:
+        name = request.account
+        first = self._needs.required_to_start(name)
+        if request.covers_runs:
             return True
-        if not first.less(self._ledger.usable(name)):
+        if not first.minus(self._ledger.usable(name)):
             return False  # it begins in the next plan
         demand = self._quotas.demands[name]
         age_ms = now_ms - demand.since_ms
         since_epoch_ms = round(self._context.epoch_ms() - age_ms)
-        is_within = not first.less(OWN)
-        return ask.order < (not is_within, since_epoch_ms, self._context.cell)
+        is_within = not first.minus(OWN)
+        return request.order < (not is_within, since_epoch_ms, self._context.cell)
 
     def _lend(self, name, borrower, more, now_ms):
         loan = self._ledger.lend(
@@ -215,10 +223,10 @@
         )
         self._context.journal.after(grant)
 
-    def _refuse(self, ask, now_ms):
+    def _refuse(self, request, now_ms):
         """Tell at once that nothing is lent now."""
-        name = ask.account
-        if not self._needs.knows(name):
+        name = request.account
+        if not self._needs.has_known_limit(name):
             reason = "refused_unknown_account"
         elif not self._ledger.unlent(name):
             reason = "refused_all_lent"
@@ -229,8 +237,8 @@
             account=name,
             lender=self._context.cell,
             lender_epoch=self._context.epoch,
-            borrower=ask.borrower,
-            borrower_epoch=ask.borrower_epoch,
+            borrower=request.borrower,
+            borrower_epoch=request.borrower_epoch,
             number=0,
             parts=NONE,
             free=self._idle(name, now_ms),
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_needs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_needs.py
@@ -15,7 +15,7 @@
         self._ledger = ledger
         self._quotas = quotas
 
-    def knows(self, name):
+    def has_known_limit(self, name):
         """Tell whether an account's limit is known."""
         return self._quotas.known_limit(name) is not None
 
@@ -30,7 +30,7 @@
             return self.used(name)
         return self._parts_of(name, demand.wanted)
 
-    def is_met(self, name):
+    def is_satisfied(self, name):
         """Tell whether all that waits may start by what is held."""
         wanted = self._quotas.demands[name].wanted
         allowed = self._ledger.allowed(name, self._quotas.known_limit(name))
@@ -42,25 +42,25 @@
             )
         )
 
-    def to_begin(self, name):
+    def required_to_start(self, name):
         """Return with what a step could begin that can't for want of parts.
 
         None where none waits. What doesn't fit the whole limit beside what runs here
         has to wait for that, and needs nothing from others.
         """
         demand = self._quotas.demands.get(name)
-        if demand is None or demand.first is None:
+        if demand is None or demand.first_blocked is None:
             return NONE
-        parts = self._parts_of(name, demand.first)
-        return NONE if parts.less(self.whole) else parts
+        parts = self._parts_of(name, demand.first_blocked)
+        return NONE if parts.minus(self.whole) else parts
 
     def unused(self, name):
         """Return what is held beyond what runs."""
-        return self._ledger.held(name).less(self.used(name))
+        return self._ledger.held(name).minus(self.used(name))
 
     def idle(self, name):
         """Return what is held beyond what runs and what waits."""
-        return self.unused(name).less(self.wanted(name).less(self.used(name)))
+        return self.unused(name).minus(self.wanted(name).minus(self.used(name)))
 
     @property
     def whole(self):
@@ -69,4 +69,4 @@
 
     def _parts_of(self, name, room):
         limit = self._quotas.known_limit(name)
-        return LimitParts.of_room(room, limit, self._ledger.whole)
+        return LimitParts.from_resources(room, limit, self._ledger.whole)
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/asking.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_requester.py
@@ -1,9 +1,9 @@
 """When a cell asks others for parts of a limit, and for how many."""
 
-from ..effects import AskParts
+from ..effects import RequestParts
 from ..specs import PARTS_PER_CELL, LimitParts
 
-__all__ = ["Asking"]
+__all__ = ["PartRequester"]
 
 # A round of asks and grants takes two ways and an append, some 30 ms.
 ASK_AGAIN_MS = 60.0
@@ -18,7 +18,7 @@
 OWN = LimitParts.all_of(PARTS_PER_CELL)
 
 
-class Asking:
+class PartRequester:
     """Ask for parts by need.
 
     The first asks are for a share of what is missing, by what each lender had free;
@@ -35,19 +35,19 @@
         self._may_lack = set()
         self._configuration = None
 
-    def ask(self, accounts, now_ms):
+    def request(self, accounts, now_ms):
         """Ask for what work lacks whose turn has come; renew asks that still hold."""
-        moved = self._ledger.moved
+        changed_accounts = self._ledger.changed_accounts
         is_new_plan = self._quotas.plan_number != self._plan_number
         self._plan_number = self._quotas.plan_number
         for name in self._quotas.demands:
             is_asking = name in self._asking
-            if is_asking or not self._needs.is_met(name):
+            if is_asking or not self._needs.is_satisfied(name):
                 account = accounts[name]
                 is_due = is_asking and now_ms >= account.due_ms
-                if is_new_plan or is_due or name in moved:
+                if is_new_plan or is_due or name in changed_accounts:
                     self._ask_for(name, account, now_ms)
-        moved.clear()
+        changed_accounts.clear()
         for name in self._asking - self._quotas.demands.keys():
             if not accounts[name].is_covering:
                 self.stop(name)
@@ -67,13 +67,13 @@
             self._configuration = self._context.configuration
             self._may_lack = set(self._context.usages)
         for name in list(self._may_lack):
-            is_known = self._needs.knows(name)
+            is_known = self._needs.has_known_limit(name)
             if not is_known or not self._cover(name, accounts[name], now_ms):
                 self._may_lack.discard(name)
 
     def _cover(self, name, account, now_ms):
         """Ask for what runs without parts; tell whether there is any."""
-        lacking = self._needs.used(name).less(self._ledger.held(name))
+        lacking = self._needs.used(name).minus(self._ledger.held(name))
         if not lacking:
             account.is_covering = False
             return False
@@ -95,12 +95,12 @@
 
     def _ask_for(self, name, account, now_ms):
         usable = self._ledger.usable(name)
-        least = self._needs.to_begin(name).less(usable)
-        wanted = self._needs.wanted(name).at_most(self._needs.whole)
-        most = wanted.less(usable).at_least(least)
-        if least.less(account.asked):
-            soon_ms = max(now_ms, account.asked_ms + ASK_FOR_MORE_MS)
-            account.due_ms = min(account.due_ms, max(soon_ms, account.paused_until_ms))
+        least = self._needs.required_to_start(name).minus(usable)
+        wanted = self._needs.wanted(name).elementwise_min(self._needs.whole)
+        most = wanted.minus(usable).elementwise_max(least)
+        if least.minus(account.requested):
+            soon_ms = max(now_ms, account.requested_ms + ASK_FOR_MORE_MS)
+            account.due_ms = min(account.due_ms, max(soon_ms, account.backoff_until_ms))
         if not most:
             self.stop(name)
         elif now_ms >= account.due_ms and not account.is_covering:
@@ -112,11 +112,13 @@
         if name not in self._asking:
             self._asking.add(name)
             account.rounds = 0
-        if now_ms - account.asked_ms > LONGEST_ASK_AGAIN_MS:
-            account.wait_ms = ASK_AGAIN_MS
-        account.asked, account.asked_ms = least, now_ms
-        account.due_ms = now_ms + account.wait_ms
-        account.wait_ms = min(LONGEST_ASK_AGAIN_MS, 2 * account.wait_ms)
+        if now_ms - account.requested_ms > LONGEST_ASK_AGAIN_MS:
+            account.retry_interval_ms = ASK_AGAIN_MS
+        account.requested, account.requested_ms = least, now_ms
+        account.due_ms = now_ms + account.retry_interval_ms
+        account.retry_interval_ms = min(
+            LONGEST_ASK_AGAIN_MS, 2 * account.retry_interval_ms
+        )
         account.rounds += 1
         self._send_all(name, account, least, most, since_epoch_ms)
         reason = "asked" if since_epoch_ms else "asked_for_runs"
@@ -141,15 +143,17 @@
         asks_for_all = account.rounds > 1 and since_epoch_ms
         for cell, weight in weights.items():
             asked_least = least if asks_for_all else least.share(weight, total)
-            asked_most = most.share(weight, total).at_least(asked_least)
+            asked_most = most.share(weight, total).elementwise_max(asked_least)
             if cell in loans:
-                asked_most = asked_most.at_least(loans[cell].parts.at_most(most))
+                asked_most = asked_most.elementwise_max(
+                    loans[cell].parts.elementwise_min(most)
+                )
             self._send(name, cell, asked_least, asked_most, since_epoch_ms)
 
     def _send(self, name, lender, least, most, since_epoch_ms):
-        first = self._needs.to_begin(name)
+        first = self._needs.required_to_start(name)
         self._context.emit(
-            AskParts(
+            RequestParts(
                 account=name,
                 borrower=self._context.cell,
                 borrower_epoch=self._context.epoch,
@@ -157,7 +161,7 @@
                 least=least,
                 most=most,
                 since_epoch_ms=since_epoch_ms,
-                is_within=not since_epoch_ms or not first.less(OWN),
+                is_within=not since_epoch_ms or not first.minus(OWN),
             )
         )
 
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/giving_back.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_returner.py
@@ -1,9 +1,9 @@
 """When a cell gives back what it borrowed of a limit."""
 
-from ..effects import HoldParts
+from ..effects import ReportHeldParts
 from ..specs import LimitParts
 
-__all__ = ["GivingBack"]
+__all__ = ["PartReturner"]
 
 # What is idle for so long is given back: short tasks follow each other within it.
 IDLE_MS = 300.0
@@ -18,7 +18,7 @@
 RECALL_KEPT_MS = 2_500.0
 
 
-class GivingBack:
+class PartReturner:
     """Give back what is idle, what can't be used and what a lender needs itself."""
 
     def __init__(self, *, context, ledger, needs, asking):
@@ -27,31 +27,31 @@
         self._needs = needs
         self._asking = asking
 
-    def on_recall(self, account, ask, now_ms):
+    def on_recall(self, account, request, now_ms):
         """Start nothing more by what a lender now asks back."""
-        row = self._ledger.borrowed_from(ask.account).get(ask.borrower)
+        row = self._ledger.borrowed_from(request.account).get(request.borrower)
         if row is None:
             return
-        account.recalls.pop(ask.borrower, None)
-        parts = ask.most.at_most(row.parts)
+        account.recalls.pop(request.borrower, None)
+        parts = request.most.elementwise_min(row.parts)
         if parts:
-            account.recalls[ask.borrower] = (parts, now_ms + RECALL_KEPT_MS)
+            account.recalls[request.borrower] = (parts, now_ms + RECALL_KEPT_MS)
             self._context.count("limit_parts", "recalled")
-        self.honour_recalls(ask.account, account, now_ms)
+        self.apply_recalls(request.account, account, now_ms)
 
-    def honour_recalls(self, name, account, now_ms):
+    def apply_recalls(self, name, account, now_ms):
         """Give back what lenders ask back, as far as nothing runs by it any more."""
         left = {}
         for lender, (parts, until_ms) in account.recalls.items():
             held = self._ledger.borrowed_from(name)[lender].parts
-            idle = parts.at_most(held).at_most(self._needs.unused(name))
+            idle = parts.elementwise_min(held).elementwise_min(self._needs.unused(name))
             if idle and until_ms > now_ms:
                 self._give_back(name, lender, idle, "recalled")
-            if parts.less(idle) and until_ms > now_ms:
-                left[lender] = (parts.less(idle), until_ms)
+            if parts.minus(idle) and until_ms > now_ms:
+                left[lender] = (parts.minus(idle), until_ms)
         account.recalls = left
         recalled = {lender: parts for lender, (parts, _) in left.items()}
-        self._ledger.recall(name, recalled)
+        self._ledger.set_recalled(name, recalled)
 
     def review(self, name, account, is_wanted, now_ms):
         """Give back what has been idle for a while, at once what another cell wants."""
@@ -61,24 +61,24 @@
         idle = self._needs.idle(name)
         if account.idle is None:
             account.idle, account.idle_since_ms = idle, now_ms
-        account.idle = account.idle.at_most(idle)
+        account.idle = account.idle.elementwise_min(idle)
         if is_wanted or now_ms - account.idle_since_ms >= IDLE_MS:
             reason = "wanted" if is_wanted else "idle"
             self._give_back_any(name, account.idle, reason)
             account.idle = None
 
-    def tell(self, name, lender):
+    def report_held(self, name, lender):
         """Tell a lender what is still counted on, by its latest grant."""
         row = self._ledger.borrowed_from(name)[lender]
         self._hold(name, lender, row.grant, row.parts)
 
-    def tell_epoch(self, name, lender):
+    def report_epoch(self, name, lender):
         """Tell a lender that another owner than the one it lent to has the cell."""
         self._hold(name, lender, (0, 0), LimitParts())
 
     def _is_stuck(self, name, account, now_ms):
         """Tell whether a step has waited for too long for parts to begin with."""
-        if not self._needs.to_begin(name).less(self._ledger.usable(name)):
+        if not self._needs.required_to_start(name).minus(self._ledger.usable(name)):
             account.unmet_since_ms = None
             return False
         if account.unmet_since_ms is None:
@@ -87,25 +87,25 @@
 
     def _let_go(self, name, account, now_ms):
         account.unmet_since_ms = account.idle = None
-        unused = self._needs.unused(name).at_most(self._ledger.borrowed(name))
+        unused = self._needs.unused(name).elementwise_min(self._ledger.borrowed(name))
         if not unused:
             return
         self._give_back_any(name, unused, "could_not_begin")
         self._asking.stop(name)
         pause_ms = PAUSE_MS + PAUSE_PER_CELL_MS * self._context.cell
-        account.due_ms = account.paused_until_ms = now_ms + pause_ms
+        account.due_ms = account.backoff_until_ms = now_ms + pause_ms
 
     def _give_back_any(self, name, parts, reason):
         for lender, row in self._ledger.borrowed_from(name).items():
-            share = parts.at_most(row.parts)
+            share = parts.elementwise_min(row.parts)
             if share:
                 self._give_back(name, lender, share, reason)
-                parts = parts.less(share)
+                parts = parts.minus(share)
 
     def _give_back(self, name, lender, parts, reason):
         """Count on less from now on, then say so."""
-        self._ledger.give_back(name, lender, parts)
-        self.tell(name, lender)
+        self._ledger.return_parts(name, lender, parts)
+        self.report_held(name, lender)
         self._context.count("limit_parts", f"returned_{reason}")
         self._context.note(
             "parts_returned",
@@ -123,7 +123,7 @@
     def _hold(self, name, lender, grant, parts):
         lender_epoch, number = grant
         self._context.emit(
-            HoldParts(
+            ReportHeldParts(
                 account=name,
                 borrower=self._context.cell,
                 borrower_epoch=self._context.epoch,
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
@@ -44,7 +44,7 @@
     What is lent is stored; what is borrowed each owner hears from the lenders anew. A
     lender counts a loan as lent until its borrower says that it counts on less, so the
     cells never hold more than the whole between them. By what lenders ask back, and by
-    what is promised to others, nothing is started any more. `moved` are the accounts
+    what is promised to others, nothing is started any more. `changed_accounts` are the accounts
     whose parts changed since they were asked for last.
     """
 
@@ -55,7 +55,7 @@
         self._in_debt = set()
         self._recalled = {}
         self._promised = {}
-        self.moved = set()
+        self.changed_accounts = set()
         self._allowed = {}
         self._number = 0
 
@@ -81,7 +81,7 @@
 
     def unlent(self, name):
         """Return what is left of the cell's own parts."""
-        return OWN.less(_sum(self.loans(name)))
+        return OWN.minus(_sum(self.loans(name)))
 
     def borrowed(self, name):
         """Return what is borrowed in all."""
@@ -95,9 +95,9 @@
         """Return the parts by which work may be started."""
         recalled = NONE
         for lender, parts in self._recalled.get(name, {}).items():
-            recalled += parts.at_most(self.borrowed_from(name)[lender].parts)
-        promised = self._promised.get(name, NONE).at_most(self.unlent(name))
-        return self.held(name).less(recalled).less(promised)
+            recalled += parts.elementwise_min(self.borrowed_from(name)[lender].parts)
+        promised = self._promised.get(name, NONE).elementwise_min(self.unlent(name))
+        return self.held(name).minus(recalled).minus(promised)
 
     def allowed(self, name, limit):
         """Return what of an account's limit the cell may have running."""
@@ -109,7 +109,7 @@
 
     def _changed(self, name):
         self._allowed.pop(name, None)
-        self.moved.add(name)
+        self.changed_accounts.add(name)
         self._context.needs_plan = True
 
     # Lent ----------------------------------------------------------------------
@@ -145,13 +145,13 @@
         self._store(name, borrower, loan)
         return loan
 
-    def take_back(self, name, borrower, parts):
+    def reduce_loan(self, name, borrower, parts):
         """Count a loan as no more than its borrower says; return what came back."""
         loan = self._loans[name][borrower]
-        returned = loan.parts.less(parts)
+        returned = loan.parts.minus(parts)
         if not returned:
             return returned
-        loan.parts = loan.parts.at_most(parts)
+        loan.parts = loan.parts.elementwise_min(parts)
         self._store(name, borrower, loan)
         if not loan.parts:
             del self._loans[name][borrower]
@@ -159,7 +159,7 @@
             del self._loans[name]
         return returned
 
-    def promise(self, name, parts):
+    def set_reserved(self, name, parts):
         """Start nothing more by some of the cell's own parts."""
         if parts != self._promised.get(name, NONE):
             self._promised[name] = parts
@@ -183,10 +183,10 @@
         self._borrowed.setdefault(name, {})[lender] = row
         self._note_debt(name)
 
-    def give_back(self, name, lender, parts):
+    def return_parts(self, name, lender, parts):
         """Count no more on some of what was borrowed."""
         row = self._borrowed[name][lender]
-        row.parts = row.parts.less(parts)
+        row.parts = row.parts.minus(parts)
         self._note_debt(name)
 
     def _note_debt(self, name):
@@ -196,7 +196,7 @@
             self._in_debt.discard(name)
         self._changed(name)
 
-    def recall(self, name, by_lender):
+    def set_recalled(self, name, by_lender):
         """Start nothing more by what some lenders ask back."""
         if by_lender == self._recalled.get(name, {}):
             return
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/quotas.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/quotas.py
@@ -5,22 +5,22 @@
 
 from attrs import define, field
 
-from ..specs import RoomLimit
+from ..specs import ResourceLimit
 from ..state import AccountUsage
-from .demand import Demand
+from .account_demand import AccountDemand
 
 __all__ = ["Quotas"]
 
 # An entry instance may let an account in by a configuration that the owner has yet to
 # read. Its work waits so long for its limit: as long as a version takes to be in force
 # everywhere on the slowest sites.
-UNKNOWN_ACCOUNT_MS = 3_000.0
+UNKNOWN_ACCOUNT_TIMEOUT_MS = 3_000.0
 # Of an account at its limit, so many steps are kept in view, so that their tickets are
 # ready when a run ends: a handful of the widest steps is more than one end lets start.
 # Without the bound, each plan goes through all that a flooding account has waiting.
-MOST_IN_VIEW = 8
-NO_LIMIT = RoomLimit()
-NOTHING = RoomLimit(cpu_milli=1, memory_mb=1, accelerators=1)
+MAX_BLOCKED_STEPS = 8
+NO_LIMIT = ResourceLimit()
+NOTHING = ResourceLimit(cpu_milli=1, memory_mb=1, accelerators=1)
 
 
 @define(kw_only=True, eq=False)
@@ -40,7 +40,7 @@
     plan_number = field(default=0)
     _last_limits = field(factory=dict)
 
-    def learn(self, configuration):
+    def update_limits(self, configuration):
         """Note the limits of a configuration that has come into force."""
         for account in configuration.accounts or ():
             self._last_limits[account.name] = account.limit
@@ -65,14 +65,14 @@
                 return limit
             return self._parts.allowed(name, limit)
         waited_ms = now_ms - job.accepted_ms
-        return NOTHING if waited_ms < UNKNOWN_ACCOUNT_MS else NO_LIMIT
+        return NOTHING if waited_ms < UNKNOWN_ACCOUNT_TIMEOUT_MS else NO_LIMIT
 
-    def tasks_left(self, step, now_ms):
+    def tasks_allowed(self, step, now_ms):
         """Return how many more tasks of a step its account may start."""
         limit = self.limit(step.job, now_ms)
-        return step.job.usage.tasks_left(step.spec, limit)
+        return step.job.usage.tasks_allowed(step.spec, limit)
 
-    def in_view(self, steps, now_ms):
+    def plannable_steps(self, steps, now_ms):
         """Return the steps, in their order, without most of those held by a limit."""
         planned, held_back, kept = {}, Counter(), []
         self.demands.clear()
@@ -81,9 +81,9 @@
             usage = step.job.usage
             if usage.name:
                 usage = planned.setdefault(usage.name, copy(usage))
-                left = usage.tasks_left(step.spec, self.limit(step.job, now_ms))
+                left = usage.tasks_allowed(step.spec, self.limit(step.job, now_ms))
                 held_back[usage.name] += not left
-                if not left and held_back[usage.name] > MOST_IN_VIEW:
+                if not left and held_back[usage.name] > MAX_BLOCKED_STEPS:
                     continue
                 if step.ready:
                     self._note_demand(step, usage, left)
@@ -97,7 +97,7 @@
         if self._context.cell_count == 1 or name not in self._last_limits:
             return
         if name not in self.demands:
-            self.demands[name] = Demand(wanted=copy(step.job.usage))
+            self.demands[name] = AccountDemand(wanted=copy(step.job.usage))
         self.demands[name].add(step, usage, left)
 
     def can_ever_run(self, spec, account_name):
@@ -107,6 +107,6 @@
             return True
         idle = AccountUsage(name=account_name)
         return all(
-            idle.tasks_left(step, limit) >= (step.count if step.gang else 1)
+            idle.tasks_allowed(step, limit) >= (step.count if step.gang else 1)
             for step in spec.steps
         )
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/tests/test_used_shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/tests/test_dominant_shares.py
@@ -2,7 +2,11 @@
 
 import pytest
 
-from thymefork_cells.accounts.used_shares import MEMORY_MS, STANDSTILL_MS, UsedShares
+from thymefork_cells.accounts.dominant_shares import (
+    STARVATION_MS,
+    USAGE_DECAY_MS,
+    DominantShares,
+)
 from thymefork_cells.context import CellContext
 from thymefork_cells.specs import AccountPolicy, Bounds, Configuration, WorkerEntry
 from thymefork_cells.state import Job, Worker
@@ -26,7 +30,7 @@
     place = {"machine_id": "m", "host": "h", "port": 1, "service": "s", "hall": "h"}
     entry = WorkerEntry(worker_id="w", **place, **ROOM)
     context.workers["w"] = Worker(entry=entry)
-    return context, UsedShares(context=context)
+    return context, DominantShares(context=context)
 
 
 def make_job(context, name, number=0, *, count=1, cpu_milli=10_000, memory_mb=0):
@@ -65,9 +69,9 @@
     job.usage.add(job.spec.steps[0])
     shares.review([job], 0.0)
     job.usage.remove(job.spec.steps[0])
-    shares.review([job], MEMORY_MS)
+    shares.review([job], USAGE_DECAY_MS)
     assert 0.1 < shares.used("a") < 0.25
-    shares.review([job], 5 * MEMORY_MS)
+    shares.review([job], 5 * USAGE_DECAY_MS)
     assert shares.used("a") < 0.01
 
 
@@ -86,7 +90,7 @@
     held.usage.add(held.spec.steps[0])
     jobs = [make_job(context, name) for name in "ab"]
     shares.review(jobs, 0.0)
-    assert names(shares.in_turns(steps_of(jobs))) == ["b", "a"]
+    assert names(shares.fair_order(steps_of(jobs))) == ["b", "a"]
 
 
 def test_turns_go_by_weight_and_by_what_steps_want():
@@ -94,7 +98,7 @@
     jobs = [make_job(context, "a", number) for number in range(4)]
     jobs += [make_job(context, "b", number) for number in range(4)]
     shares.review(jobs, 0.0)
-    turns = names(shares.in_turns(steps_of(jobs)))
+    turns = names(shares.fair_order(steps_of(jobs)))
     assert sorted(turns) == ["a"] * 4 + ["b"] * 4
     assert turns[:5].count("b") == 3
 
@@ -104,7 +108,7 @@
     jobs = [make_job(context, "a", number, count=8) for number in range(2)]
     jobs += [make_job(context, "b", number) for number in range(16)]
     shares.review(jobs, 0.0)
-    turns = names(shares.in_turns(steps_of(jobs)))
+    turns = names(shares.fair_order(steps_of(jobs)))
     assert turns.index("a", turns.index("a") + 1) >= 8
 
 
@@ -114,11 +118,11 @@
     job = make_job(context, "a")
     if holds:
         job.usage.add(job.spec.steps[0])
-    for now_ms in (0.0, STANDSTILL_MS - 1.0):
+    for now_ms in (0.0, STARVATION_MS - 1.0):
         shares.review([job], now_ms)
-        shares.note_wanting({"a"}, now_ms)
-        assert not shares.stands_still("a", now_ms)
-    assert shares.stands_still("a", STANDSTILL_MS) is not holds
+        shares.record_waiting({"a"}, now_ms)
+        assert not shares.is_starved("a", now_ms)
+    assert shares.is_starved("a", STARVATION_MS) is not holds
 
 
 def test_an_account_without_a_weight_is_not_followed():
@@ -126,6 +130,6 @@
     job = make_job(context, "a")
     job.usage.add(job.spec.steps[0])
     shares.review([job], 0.0)
-    shares.note_wanting({"a"}, 0.0)
+    shares.record_waiting({"a"}, 0.0)
     assert shares.used("a") == 0.0
-    assert not shares.stands_still("a", 2 * STANDSTILL_MS)
+    assert not shares.is_starved("a", 2 * STARVATION_MS)
--- a/packages/thymefork-cells/src/thymefork_cells/advice/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/__init__.py
@@ -1,6 +1,6 @@
 """Advice: which workers a policy is asked about."""
 
-from .choice import AllowedShares, choose_workers, has_tickets_to_wait
-from .desk import AdviceDesk
+from .requester import AdviceRequester
+from .worker_selection import ApprovalRates, choose_workers, has_enough_tickets
 
-__all__ = ["AdviceDesk", "AllowedShares", "choose_workers", "has_tickets_to_wait"]
+__all__ = ["AdviceRequester", "ApprovalRates", "choose_workers", "has_enough_tickets"]
--- a/packages/thymefork-cells/src/thymefork_cells/advice/desk.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
@@ -2,11 +2,11 @@
 
 from operator import itemgetter
 
-from ..effects import AskAdvice
+from ..effects import RequestAdvice
 from ..state import Ticket
-from .choice import AllowedShares, choose_workers, has_tickets_to_wait
+from .worker_selection import ApprovalRates, choose_workers, has_enough_tickets
 
-__all__ = ["AdviceDesk"]
+__all__ = ["AdviceRequester"]
 
 # The service takes at most this many workers in one call.
 MOST_WORKERS = 100
@@ -38,14 +38,14 @@
 AHEAD_MS = 250.0
 
 
-class AdviceDesk:
+class AdviceRequester:
     """Keep tickets ready for the steps whose turn comes."""
 
-    def __init__(self, *, context, images, speeds):
+    def __init__(self, *, context, durations, speeds):
         self._context = context
-        self._images = images
+        self._durations = durations
         self._speeds = speeds
-        self._shares = AllowedShares()
+        self._shares = ApprovalRates()
         self._wanting = []
 
     def policy(self, step):
@@ -72,11 +72,11 @@
             return True
         return step.ticket_for(worker.worker_id, now_ms) is not None
 
-    def consider(self, step, workers, now_ms, *, may_start, stands_still=False):
+    def queue_request(self, step, workers, now_ms, *, may_start, is_starved=False):
         """Note that a step may want a call, if its tickets may be missing soon.
 
         `workers` are given by id; `may_start` is how many tasks of the step its account
-        may start now, `stands_still` that the account has wanted room for long and
+        may start now, `is_starved` that the account has wanted room for long and
         held none.
         """
         policy = self.policy(step)
@@ -89,7 +89,7 @@
         if not self._is_near(step, most_ms, now_ms):
             return
         step.advice_wanted_ms = step.advice_wanted_ms or now_ms
-        steps_later = 0 if stands_still else self._steps_later(step, may_start)
+        steps_later = 0 if is_starved else self._steps_later(step, may_start)
         due_ms = step.advice_wanted_ms + PRIORITY_STEP_MS * steps_later
         self._wanting.append((due_ms, len(self._wanting), step, workers, may_start))
 
@@ -99,7 +99,7 @@
         steps += BEYOND_SHARE_STEPS * step.job.is_beyond_share
         return steps + HELD_BACK_STEPS * (not may_start)
 
-    def ask(self, now_ms, *, permits):
+    def send_requests(self, now_ms, *, permits):
         """Make the calls that were wanted, as many as there are instances for.
 
         The workers are chosen as a call is made: one that waits for an instance waits
@@ -111,7 +111,7 @@
             policy = self.policy(step)
             if not self._may_be_called(policy.decision_ms):
                 continue
-            if self._context.delays_early_advice and not step.ready:
+            if self._context.defers_early_advice and not step.ready:
                 self._context.count("owner_shed", "early_advice")
                 continue
             self._forget_denials(step, now_ms)
@@ -128,7 +128,7 @@
     def _may_be_called(self, cost_ms):
         """Tell whether there may be an instance for a call of such a cost or more."""
         slots = self._context.advice_slots
-        return slots is None or slots.has_room(cost_ms)
+        return slots is None or slots.has_capacity(cost_ms)
 
     def _ask(self, step, policy, candidates):
         cost_ms = policy.decision_ms + policy.per_worker_ms * len(candidates)
@@ -140,7 +140,7 @@
         queue = self._context.queue(step.job)
         self._context.count("advice_workers", queue.name, len(candidates))
         self._context.emit(
-            AskAdvice(
+            RequestAdvice(
                 step=step,
                 worker_ids=tuple(worker.worker_id for worker in candidates),
                 cost_ms=cost_ms,
@@ -155,10 +155,10 @@
         The policy does not change, but a worker that was new to the service when it
         was asked may have been left out of its answer.
         """
-        patience_ms = ASK_ANEW_MS * 2**step.asked_anew
+        patience_ms = ASK_ANEW_MS * 2**step.repeated_requests
         if step.ready and now_ms - max(step.ready_ms, step.denied_ms) > patience_ms:
             step.denied_ms = now_ms
-            step.asked_anew += 1
+            step.repeated_requests += 1
             step.denied.clear()
 
     def _candidates(self, step, workers, wanted, now_ms, permits):
@@ -176,30 +176,34 @@
         for worker_id, worker in workers.items():
             if worker_id in known:
                 continue
-            has_room = worker.has_room(step.spec) and permits(step, worker, now_ms)
-            (with_room if has_room and is_of_use(worker) else others).append(worker)
-        if step.ready and not with_room and has_tickets_to_wait(held, wanted):
+            has_capacity = worker.has_capacity(step.spec) and permits(
+                step, worker, now_ms
+            )
+            (with_room if has_capacity and is_of_use(worker) else others).append(worker)
+        if step.ready and not with_room and has_enough_tickets(held, wanted):
             return self._to_renew(step, workers, now_ms)
-        chance = None
-        if self._speeds.is_uneven:
-            chance = self._images.late_chance(step, now_ms)
+        lateness = None
+        if self._speeds.is_heterogeneous:
+            lateness = self._durations.lateness_probability(step, now_ms)
         return choose_workers(
             step,
             with_room,
             others,
             wanted,
-            share=self._shares.of(step.job.queue_name),
+            approval_rate=self._shares.rate_of(step.job.queue_name),
             waited_ms=step.longest_wait_ms(now_ms),
-            most=MOST_WORKERS,
-            chance=chance,
+            max_workers=MOST_WORKERS,
+            lateness=lateness,
         )
 
     @staticmethod
     def _judge_of_use(step):
         """Return what tells whether a task that waits may go to a worker with room."""
-        counts = step.per_worker() if step.spec.most_per_worker else {}
-        avoided = [task.avoided for task in step.waiting]
-        avoided_by_all = set.intersection(*avoided) if avoided else set()
+        counts = step.runs_per_worker() if step.spec.most_per_worker else {}
+        avoided_workers = [task.avoided_workers for task in step.waiting]
+        avoided_by_all = (
+            set.intersection(*avoided_workers) if avoided_workers else set()
+        )
 
         def is_of_use(worker):
             worker_id = worker.worker_id
@@ -209,7 +213,7 @@
 
         return is_of_use
 
-    def may_find_others(self, step, workers):
+    def has_unasked_workers(self, step, workers):
         """Tell whether there are workers that a step was not asked about yet."""
         if self.policy(step) is None:
             return False
@@ -227,7 +231,7 @@
         allowed = [
             workers[worker_id]
             for worker_id in sorted(step.allowed & workers.keys())
-            if workers[worker_id].could_hold(step.spec)
+            if workers[worker_id].fits_when_empty(step.spec)
         ]
         lasting = [
             worker
@@ -254,11 +258,11 @@
             for task in earlier.tasks:
                 if task.done:
                     continue
-                run = task.serving_run
+                run = task.active_run
                 if run is None:
-                    left_ms = self._images.expected_ms(earlier.spec) + AHEAD_MS
+                    left_ms = self._durations.expected_ms(earlier.spec) + AHEAD_MS
                 else:
-                    left_ms = self._images.left_ms(run, now_ms)
+                    left_ms = self._durations.left_ms(run, now_ms)
                 longest_ms = max(longest_ms, left_ms)
         return longest_ms
 
--- a/packages/thymefork-cells/src/thymefork_cells/advice/choice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/worker_selection.py
@@ -4,9 +4,9 @@
 
 import xxhash
 
-from ..placing.worker_choice import copies_in
+from ..placement.worker_ranking import task_capacity
 
-__all__ = ["AllowedShares", "choose_workers", "has_tickets_to_wait"]
+__all__ = ["ApprovalRates", "choose_workers", "has_enough_tickets"]
 
 # Until a queue's policy was seen at work, it is taken to allow half of the workers.
 FIRST_SHARE = 0.5
@@ -28,13 +28,13 @@
 WIDER_AFTER_MS = 500.0
 
 
-class AllowedShares:
+class ApprovalRates:
     """Learn what share of the workers asked about each queue's policy allows."""
 
     def __init__(self):
         self._shares = {}
 
-    def of(self, queue_name):
+    def rate_of(self, queue_name):
         """Return the share that a queue's policy usually allows, above 0 up to 1."""
         return max(LEAST_SHARE, self._shares.get(queue_name, FIRST_SHARE))
 
@@ -46,7 +46,7 @@
         self._shares[queue_name] = known + WEIGHT_OF_NEWEST * (allowed / asked - known)
 
 
-def has_tickets_to_wait(held, wanted):
+def has_enough_tickets(held, wanted):
     """Tell whether a step holds tickets for workers enough to wait there for room.
 
     Less urgent work makes way for a step only where it has tickets.
@@ -55,7 +55,15 @@
 
 
 def choose_workers(
-    step, with_room, others, wanted, *, share, waited_ms, most, chance=None
+    step,
+    with_room,
+    others,
+    wanted,
+    *,
+    approval_rate,
+    waited_ms,
+    max_workers,
+    lateness=None,
 ):
     """Return workers with room for the wanted tasks by the share that is allowed.
 
@@ -63,28 +71,28 @@
     come first, from the hall with the most of it, and within a hall in an order that
     differs from step to step, so that steps which ask at the same time spread over all
     workers. After an answer that allowed none, and as the step waits, a call asks about
-    twice as many as the one before. Where workers are uneven, `chance` tells how likely
+    twice as many as the one before. Where workers are uneven, `lateness` tells how likely
     a task is late on each: those that suit come first, of them the slowest.
     """
     wider = 2 ** max(step.denials_in_row, int(waited_ms / WIDER_AFTER_MS))
-    target = MARGIN * wider * wanted / share
+    target = MARGIN * wider * wanted / approval_rate
     fewest = FEWEST_WORKERS * wider
     chosen, covered = [], 0
-    for worker in _ranked(step, with_room, others, chance):
-        if len(chosen) == most or (covered >= target and len(chosen) >= fewest):
+    for worker in _ranked(step, with_room, others, lateness):
+        if len(chosen) == max_workers or (covered >= target and len(chosen) >= fewest):
             break
         chosen.append(worker)
-        covered += max(1, copies_in(worker, step.spec))
+        covered += max(1, task_capacity(worker, step.spec))
     return chosen
 
 
-def _ranked(step, with_room, others, chance):
+def _ranked(step, with_room, others, lateness):
     """Yield the workers that a step may ask about, the best ones first."""
-    if chance is None:
+    if lateness is None:
         yield from _by_hall(step, with_room)
     else:
         sound = [worker for worker in with_room if not worker.is_far_slower]
-        suitable = chance.suitable(sound)
+        suitable = lateness.suitable(sound)
         rest = set(with_room).difference(suitable)
         slow = [worker for worker in suitable if worker.slowness >= 1.0]
         fast = [worker for worker in suitable if worker.slowness < 1.0]
@@ -99,7 +107,7 @@
     room, by_hall = Counter(), defaultdict(list)
     for worker in with_room:
         hall = worker.entry.hall
-        room[hall] += copies_in(worker, step.spec)
+        room[hall] += task_capacity(worker, step.spec)
         by_hall[hall].append(worker)
     for hall, _ in room.most_common():
         yield from _drawn(step, by_hall[hall])
--- a/packages/thymefork-cells/src/thymefork_cells/cell.py
+++ b/packages/thymefork-cells/src/thymefork_cells/cell.py
@@ -1,10 +1,10 @@
 """One cell: a share of the workers of every hall and a share of the jobs."""
 
-from .accounts import PartExchange, PartsLedger, Quotas, Shares
-from .advice.desk import AdviceDesk
+from .accounts import JobRateShares, PartExchange, PartsLedger, Quotas
+from .advice.requester import AdviceRequester
 from .context import CellContext
-from .estimates.images import ImageTimes
-from .estimates.room_forecast import RoomForecast
+from .estimates.capacity_forecast import CapacityForecast
+from .estimates.image_durations import ImageDurations
 from .estimates.speed_learner import SpeedLearner
 from .estimates.worker_speeds import WorkerSpeeds
 from .jobs.inherited_ends import InheritedEnds
@@ -13,20 +13,20 @@
 from .jobs.journal import Journal
 from .jobs.lifecycle import Lifecycle
 from .jobs.unstored_ends import UnstoredEnds
-from .placing.placer import Placer
-from .placing.preemptor import Preemptor
-from .placing.reservations import Reservations
-from .placing.trials import Trials
-from .workers.gang_watch import GangWatch
-from .workers.lives import LifeVerdict, Lives
-from .workers.long_holds import LongHolds
-from .workers.looks import Looks
-from .workers.orders import Orders, Refusal
-from .workers.pacing import Pacing
+from .placement.crash_isolation import CrashIsolation
+from .placement.placer import Placer
+from .placement.preemptor import Preemptor
+from .placement.reservations import Reservations
+from .workers.commands import CommandTracker, Refusal
+from .workers.extended_leases import ExtendedLeases
+from .workers.gang_monitor import GangMonitor
+from .workers.incarnations import IncarnationMatch, IncarnationTracker
+from .workers.pacing import PaceController
+from .workers.progress_monitor import ProgressMonitor
 from .workers.quorum import Quorum
-from .workers.roster import Roster
-from .workers.watch import Watch
 from .workers.worker_losses import WorkerLosses
+from .workers.worker_poller import WorkerPoller
+from .workers.worker_registry import WorkerRegistry
 
 __all__ = ["Cell"]
 
@@ -54,10 +54,10 @@
         self.context.journal = Journal()
         self.quorum = Quorum(context=self.context, membership_ms=membership_ms)
         self._review_due_ms = now_ms
-        self.images = ImageTimes()
+        self.durations = ImageDurations()
         self.speeds = WorkerSpeeds()
         self.speed_learner = SpeedLearner(
-            context=self.context, images=self.images, speeds=self.speeds
+            context=self.context, durations=self.durations, speeds=self.speeds
         )
         self.lifecycle = Lifecycle(context=self.context)
         self.losses = WorkerLosses(context=self.context, lifecycle=self.lifecycle)
@@ -65,24 +65,26 @@
         self.inherited_ends = InheritedEnds(
             context=self.context, lifecycle=self.lifecycle
         )
-        self.looks = Looks(
+        self.poller = WorkerPoller(
             context=self.context,
             lifecycle=self.lifecycle,
             losses=self.losses,
             unstored_ends=self.unstored_ends,
         )
-        self.long_holds = LongHolds(context=self.context)
-        self.lives = Lives(
+        self.extended_leases = ExtendedLeases(context=self.context)
+        self.incarnations = IncarnationTracker(
             context=self.context,
             lifecycle=self.lifecycle,
             losses=self.losses,
-            long_holds=self.long_holds,
+            extended_leases=self.extended_leases,
         )
-        self.roster = Roster(context=self.context, losses=self.losses, lives=self.lives)
-        self.shares = Shares(context=self.context)
+        self.registry = WorkerRegistry(
+            context=self.context, losses=self.losses, incarnations=self.incarnations
+        )
+        self.shares = JobRateShares(context=self.context)
         self.parts = PartsLedger(context=self.context)
         self.quotas = Quotas(context=self.context, parts=self.parts)
-        self.quotas.learn(configuration)
+        self.quotas.update_limits(configuration)
         self.exchange = PartExchange(
             context=self.context, ledger=self.parts, quotas=self.quotas
         )
@@ -97,37 +99,37 @@
             lifecycle=self.lifecycle,
             losses=self.losses,
             shares=self.shares,
-            worker_of=self.roster.ghost,
+            worker_of=self.registry.get_or_add_placeholder,
         )
-        forecast = RoomForecast(context=self.context, images=self.images)
-        self.advice = AdviceDesk(
-            context=self.context, images=self.images, speeds=self.speeds
+        forecast = CapacityForecast(context=self.context, durations=self.durations)
+        self.advice = AdviceRequester(
+            context=self.context, durations=self.durations, speeds=self.speeds
         )
-        self.orders = Orders(
+        self.commands = CommandTracker(
             context=self.context,
             lifecycle=self.lifecycle,
-            looks=self.looks,
+            poller=self.poller,
             advice=self.advice,
         )
         self.placer = Placer(
             context=self.context,
             advice=self.advice,
-            images=self.images,
+            durations=self.durations,
             preemptor=Preemptor(
-                context=self.context, lifecycle=self.lifecycle, images=self.images
+                context=self.context, lifecycle=self.lifecycle, durations=self.durations
             ),
             reservations=Reservations(
-                context=self.context, images=self.images, forecast=forecast
+                context=self.context, durations=self.durations, forecast=forecast
             ),
-            trials=Trials(),
+            crash_isolation=CrashIsolation(),
             quotas=self.quotas,
             speeds=self.speeds,
         )
-        self.watch = Watch(
-            context=self.context, lifecycle=self.lifecycle, images=self.images
+        self.progress_monitor = ProgressMonitor(
+            context=self.context, lifecycle=self.lifecycle, durations=self.durations
         )
-        self.gang_watch = GangWatch(context=self.context, lifecycle=self.lifecycle)
-        self.pacing = Pacing(context=self.context)
+        self.gang_monitor = GangMonitor(context=self.context, lifecycle=self.lifecycle)
+        self.pacing = PaceController(context=self.context)
 
     @property
     def journal(self):
@@ -145,43 +147,43 @@
     def load(self, records, *, epoch_ms, now_ms):
         """Bring the cell to the stored state; `records` maps keys to values."""
         self._loader.load(records, epoch_ms=epoch_ms, now_ms=now_ms)
-        self.long_holds.load(records, self.roster.ghost, now_ms)
+        self.extended_leases.load(records, self.registry.get_or_add_placeholder, now_ms)
         self.parts.load(records)
-        self.quorum.inherit(now_ms)
+        self.quorum.bound_inherited_leases(now_ms)
 
     def on_configuration(self, configuration):
         """Take a newer configuration."""
         self.context.configuration = configuration
-        self.quotas.learn(configuration)
+        self.quotas.update_limits(configuration)
         self.context.needs_plan = True
 
     # Time --------------------------------------------------------------------
 
-    def turn(self, now_ms):
+    def run_cycle(self, now_ms):
         """Do all that is due; return when the next turn is due at the latest."""
-        self.unstored_ends.tell_if_late(now_ms)
+        self.unstored_ends.announce_if_late(now_ms)
         if now_ms >= self._review_due_ms:
             self._review_due_ms = now_ms + REVIEW_MS
             self.quorum.check(now_ms)
-            self.roster.expire(now_ms)
-            self.long_holds.review(now_ms)
-            self.orders.check_doubts(now_ms)
-            self.orders.note_overdue_stops(now_ms)
+            self.registry.expire_leases(now_ms)
+            self.extended_leases.review(now_ms)
+            self.commands.stop_unconfirmed_starts(now_ms)
+            self.commands.log_overdue_stops(now_ms)
             self.speed_learner.review(now_ms)
-            self.watch.check(now_ms)
-            self.gang_watch.check(now_ms)
+            self.progress_monitor.check(now_ms)
+            self.gang_monitor.check(now_ms)
             self.pacing.check(now_ms)
             self._forget_ended(now_ms)
             self.context.needs_plan = True
         if self.context.needs_plan:
             self.placer.plan(now_ms)
-        parts_ms = self.exchange.turn(now_ms)
-        self.orders.send_stops(now_ms)
-        look_ms = self.looks.schedule(now_ms)
+        parts_ms = self.exchange.run_cycle(now_ms)
+        self.commands.send_stops(now_ms)
+        look_ms = self.poller.schedule(now_ms)
         return min(look_ms, parts_ms, self._review_due_ms)
 
     def _forget_ended(self, now_ms):
-        oldest_ms = now_ms - self.context.bounds.status_kept_ms * 1.5
+        oldest_ms = now_ms - self.context.bounds.status_retention_ms * 1.5
         for job in list(self.context.jobs.values()):
             if not job.is_live and job.ended_ms < oldest_ms and not job.runs:
                 del self.context.jobs[job.job_id]
@@ -191,8 +193,8 @@
 
     def on_stored(self, batch):
         """Show what an append has made lasting."""
-        for job, state in batch.shown:
-            job.shown_state = state
+        for job, state in batch.job_states:
+            job.visible_state = state
 
     def on_not_stored(self, batch, *, now_ms):
         """Refuse the new jobs of an append that the store has certainly not done."""
@@ -201,7 +203,9 @@
         replies = batch.take_replies(new_jobs) + self.journal.take_replies(new_jobs)
         for reply in replies:
             self.intake.refuse(reply)
-        batch.shown = [row for row in batch.shown if row[0].job_id not in new_jobs]
+        batch.job_states = [
+            row for row in batch.job_states if row[0].job_id not in new_jobs
+        ]
         self.journal.forget(new_jobs)
         self.journal.put_back(batch)
 
@@ -213,26 +217,26 @@
 
     # Outcomes of effects -----------------------------------------------------
 
-    def on_start(self, run, answer, *, now_ms):
+    def on_start_answer(self, run, answer, *, now_ms):
         """Apply the answer to a start."""
         if answer.refusal is Refusal.OTHER_LIFE:
             # This run never was on the life that is over, so it can't have ended it.
             self.lifecycle.release(run, now_ms=now_ms)
-            self.on_other_life(run.worker, now_ms=now_ms)
+            self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
-        self.orders.on_start(run, answer, now_ms=now_ms)
+        self.commands.on_start_answer(run, answer, now_ms=now_ms)
 
-    def on_stop(self, run, answer, *, now_ms):
+    def on_stop_answer(self, run, answer, *, now_ms):
         """Apply the answer to a stop."""
         if answer.refusal is Refusal.OTHER_LIFE:
-            self.on_other_life(run.worker, now_ms=now_ms)
+            self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
-        self.orders.on_stop(run, answer, now_ms=now_ms)
+        self.commands.on_stop_answer(run, answer, now_ms=now_ms)
 
-    def on_pace(self, run, percent, answer, *, now_ms):
+    def on_pace_answer(self, run, percent, answer, *, now_ms):
         """Apply the answer to an order to pace a run."""
         if answer.refusal is Refusal.OTHER_LIFE:
-            self.on_other_life(run.worker, now_ms=now_ms)
+            self.on_other_incarnation(run.worker, now_ms=now_ms)
             return
         self.pacing.on_answer(run, percent, answer, now_ms=now_ms)
 
@@ -241,15 +245,15 @@
         if worker.is_over:
             return
         born_epoch_ms = report.born_epoch_ms
-        verdict = self.lives.judge_listing(worker, born_epoch_ms, now_ms)
-        if verdict is LifeVerdict.NEXT:
-            entry = self.lives.stand_in_entry(worker)
-            self.lives.begin(
+        verdict = self.incarnations.match_report(worker, born_epoch_ms, now_ms)
+        if verdict is IncarnationMatch.NEXT:
+            entry = self.incarnations.placeholder_entry(worker)
+            self.incarnations.start_next(
                 worker, entry=entry, born_epoch_ms=born_epoch_ms, now_ms=now_ms
             )
-        elif verdict is LifeVerdict.EARLIER:
-            self.lives.count_set_aside(born_epoch_ms)
-            self.looks.on_miss(worker, quick=quick, now_ms=now_ms)
+        elif verdict is IncarnationMatch.EARLIER:
+            self.incarnations.count_ignored_report(born_epoch_ms)
+            self.poller.on_poll_unanswered(worker, quick=quick, now_ms=now_ms)
         else:
             self._apply_report(worker, report, last_end, quick, now_ms)
 
@@ -257,12 +261,14 @@
         ended = {(row.task, row.run_id) for row in report.ended if row.how == "done"}
         for key in ended:
             run = worker.runs.get(key)
-            if run is not None and run.was_seen_whole:
+            if run is not None and run.has_known_duration:
                 self.speed_learner.on_done(run, now_ms)
-        self.long_holds.on_answer(worker, now_ms)
-        self.looks.on_report(worker, report, last_end, quick=quick, now_ms=now_ms)
+        self.extended_leases.on_answer(worker, now_ms)
+        self.poller.on_report(worker, report, last_end, quick=quick, now_ms=now_ms)
 
-    def on_other_life(self, worker, *, now_ms):
+    def on_other_incarnation(self, worker, *, now_ms):
         """Apply that another life of a worker answers at its address."""
-        worker.looking = worker.looking_quickly = False
-        self.roster.end_life(worker, "another life answers there", now_ms=now_ms)
+        worker.is_polling = worker.is_quick_polling = False
+        self.registry.end_incarnation(
+            worker, "another life answers there", now_ms=now_ms
+        )
--- a/packages/thymefork-cells/src/thymefork_cells/context.py
+++ b/packages/thymefork-cells/src/thymefork_cells/context.py
@@ -9,22 +9,22 @@
 from .specs import Bounds, Configuration
 from .state import AccountUsage, AdviceSlots
 
-__all__ = ["STALE_MS", "CellContext"]
+__all__ = ["WORKER_LIST_MAX_AGE_MS", "CellContext"]
 
 # A list of workers that was read longer ago than this says nothing of a worker's room:
 # one that has shrunk has to be known after contact and a heartbeat, 3.5 s on the
 # quickest sites.
-STALE_MS = 3_000.0
+WORKER_LIST_MAX_AGE_MS = 3_000.0
 
 
 @define(kw_only=True, eq=False)
 class CellContext:
     """Hold the jobs, workers and pending effects of one cell under one owner.
 
-    `usages` holds what each client account has running, by name; `owed_stops` holds,
+    `usages` holds what each client account has running, by name; `pending_stops` holds,
     as keys in their order, the runs that a worker still has to be told to stop.
     `advice_slots` tells how many calls for advice may be made now, None for any number.
-    `workers_known_ms` is since when at the latest the list of workers may have changed
+    `worker_list_as_of_ms` is since when at the latest the list of workers may have changed
     unseen; `epoch_ms()` is the time of day. `delays_*` say what an overloaded owner
     puts off. Units: `*_ms` on the steady clock.
     """
@@ -39,24 +39,24 @@
     live_jobs: dict = field(factory=dict)
     workers: dict = field(factory=dict)
     usages: dict = field(factory=dict)
-    owed_stops: dict = field(factory=dict)
+    pending_stops: dict = field(factory=dict)
     effects: list = field(factory=list)
     journal: object = None
     needs_plan: bool = True
-    store_is_away: bool = False
+    is_store_unavailable: bool = False
     advice_slots: AdviceSlots | None = None
-    workers_known_ms: float = float("inf")
-    delays_idle_looks: bool = False
-    delays_early_advice: bool = False
+    worker_list_as_of_ms: float = float("inf")
+    defers_idle_polls: bool = False
+    defers_early_advice: bool = False
     epoch_ms: Callable[[], float] = field(default=lambda: time.time() * 1000.0)
 
-    def is_list_stale(self, now_ms):
+    def is_worker_list_stale(self, now_ms):
         """Tell whether the list of workers is too old to start work by.
 
         Judged as work is planned and as each start leaves, since a process that was
         paused goes on with what it knew.
         """
-        return now_ms - self.workers_known_ms > STALE_MS
+        return now_ms - self.worker_list_as_of_ms > WORKER_LIST_MAX_AGE_MS
 
     def emit(self, effect):
         """Have an effect carried out at once."""
--- a/packages/thymefork-cells/src/thymefork_cells/effects/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/__init__.py
@@ -1,28 +1,28 @@
 """What a cell wants done outside: orders, calls, replies, log lines."""
 
-from .advice import AskAdvice
-from .looks import EndsStored, LookAt, StrayRun, TellEnds, TellSpeeds
-from .orders import PaceRun, StartRun, StopRun
-from .parts import AskParts, GrantParts, HoldParts
+from .advice import RequestAdvice
+from .commands import PaceRun, StartRun, StopRun
+from .parts import GrantParts, ReportHeldParts, RequestParts
+from .polls import AnnounceEnds, AnnounceSpeeds, EndsStored, OrphanedRun, PollWorker
 from .replies import Outcome, Reply
-from .telling import Count, Note, Observe
+from .telemetry import Count, Note, Observe
 
 __all__ = [
-    "AskAdvice",
-    "AskParts",
+    "AnnounceEnds",
+    "AnnounceSpeeds",
     "Count",
     "EndsStored",
     "GrantParts",
-    "HoldParts",
-    "LookAt",
     "Note",
     "Observe",
+    "OrphanedRun",
     "Outcome",
     "PaceRun",
+    "PollWorker",
     "Reply",
+    "ReportHeldParts",
+    "RequestAdvice",
+    "RequestParts",
     "StartRun",
     "StopRun",
-    "StrayRun",
-    "TellEnds",
-    "TellSpeeds",
 ]
--- a/packages/thymefork-cells/src/thymefork_cells/effects/advice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/advice.py
@@ -2,11 +2,11 @@
 
 from attrs import frozen
 
-__all__ = ["AskAdvice"]
+__all__ = ["RequestAdvice"]
 
 
 @frozen(kw_only=True, eq=False)
-class AskAdvice:
+class RequestAdvice:
     """Ask which of some workers may run a step.
 
     Units: `cost_ms` is how long the service works on the call, by its own figures.
--- a/packages/thymefork-cells/src/thymefork_cells/effects/parts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/parts.py
@@ -7,11 +7,11 @@
 
 from ..specs import LimitParts
 
-__all__ = ["AskParts", "GrantParts", "HoldParts"]
+__all__ = ["GrantParts", "ReportHeldParts", "RequestParts"]
 
 
 @frozen(kw_only=True)
-class AskParts:
+class RequestParts:
     """Ask a cell to lend parts that it doesn't use, and to give back what it borrowed.
 
     `least` lets the first step that waits begin, `most` all that wait; an ask takes the
@@ -69,7 +69,7 @@
 
 
 @frozen(kw_only=True)
-class HoldParts:
+class ReportHeldParts:
     """Tell a lender what its borrower still counts on, of the grant that it names.
 
     A number of 0 tells only which epoch owns the borrowing cell.
--- a/packages/thymefork-cells/src/thymefork_cells/effects/looks.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/polls.py
@@ -4,11 +4,11 @@
 
 from ..reports import HeardEnd
 
-__all__ = ["EndsStored", "LookAt", "StrayRun", "TellEnds", "TellSpeeds"]
+__all__ = ["AnnounceEnds", "AnnounceSpeeds", "EndsStored", "OrphanedRun", "PollWorker"]
 
 
 @frozen(kw_only=True, eq=False)
-class LookAt:
+class PollWorker:
     """Ask a worker what runs and what has ended.
 
     Units: `wait_ms` is how long the worker may hold its answer until a run ends;
@@ -33,21 +33,21 @@
 
 
 @frozen(kw_only=True, eq=False)
-class TellEnds:
+class AnnounceEnds:
     """Tell those who may own the cell next of ends that can't be stored now."""
 
     ends: tuple[HeardEnd, ...]
 
 
 @frozen(kw_only=True, eq=False)
-class TellSpeeds:
+class AnnounceSpeeds:
     """Tell those who may own the cell next how fast machines have turned out."""
 
     speeds: tuple
 
 
 @frozen(kw_only=True, eq=False)
-class StrayRun:
+class OrphanedRun:
     """Name a run that belongs to no job; it is stopped where it is seen."""
 
     worker: object
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/__init__.py
@@ -1,21 +1,21 @@
 """Estimates: how long tasks take, where, and when room comes free."""
 
-from .images import ImageTimes
-from .late_chance import LateChance
-from .room import Room
-from .room_forecast import RoomForecast
+from .capacity_forecast import CapacityForecast
+from .free_capacity import FreeCapacity
+from .image_durations import ImageDurations
+from .lateness_probability import LatenessProbability
+from .speed_announcements import REANNOUNCE_MS, SpeedAnnouncements
 from .speed_learner import SpeedLearner
-from .speed_news import TELL_AGAIN_MS, SpeedNews
 from .worker_speeds import LearnedSpeed, WorkerSpeeds
 
 __all__ = [
-    "ImageTimes",
-    "LateChance",
+    "REANNOUNCE_MS",
+    "CapacityForecast",
+    "FreeCapacity",
+    "ImageDurations",
+    "LatenessProbability",
     "LearnedSpeed",
-    "Room",
-    "RoomForecast",
+    "SpeedAnnouncements",
     "SpeedLearner",
-    "SpeedNews",
-    "TELL_AGAIN_MS",
     "WorkerSpeeds",
 ]
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/room_forecast.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/capacity_forecast.py
@@ -1,34 +1,34 @@
 """When room comes free on a worker, by what is left of its runs."""
 
 from ..state import RunState
-from .room import Room
+from .free_capacity import FreeCapacity
 
-__all__ = ["RoomForecast"]
+__all__ = ["CapacityForecast"]
 
 
-class RoomForecast:
+class CapacityForecast:
     """Estimate when tasks of a step would find room on a worker."""
 
-    def __init__(self, *, context, images):
+    def __init__(self, *, context, durations):
         self._context = context
-        self._images = images
+        self._durations = durations
 
-    def room_times(self, worker, spec, now_ms):
+    def fit_times(self, worker, spec, now_ms):
         """Return when there is room for the first task of a step, the second, …"""
-        room = Room.of(worker)
-        times = room.take_all(spec, now_ms)
+        room = FreeCapacity.of(worker)
+        times = room.allocate_all(spec, now_ms)
         for left_ms, run in self._ends(worker, now_ms):
             if _is_enough(times, spec):
                 break
             room.release(run.step)
-            times += room.take_all(spec, now_ms + left_ms)
+            times += room.allocate_all(spec, now_ms + left_ms)
         if spec.most_per_worker:
             times = times[: spec.most_per_worker]
         return times[: spec.count]
 
-    def has_room_by(self, worker, spec, until_ms, now_ms):
+    def fits_by(self, worker, spec, until_ms, now_ms):
         """Tell whether one task of a step finds room before a moment."""
-        room = Room.of(worker)
+        room = FreeCapacity.of(worker)
         if room.fits(spec):
             return True
         for left_ms, run in self._ends(worker, now_ms):
@@ -47,7 +47,7 @@
             if run.state is RunState.STOPPING:
                 rows.append((stop_ms, run))
             elif not run.step.long_running:
-                rows.append((self._images.left_ms(run, now_ms), run))
+                rows.append((self._durations.left_ms(run, now_ms), run))
         return sorted(rows, key=lambda row: row[0])
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/room.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/free_capacity.py
@@ -1,9 +1,9 @@
 """What would be free on a worker if some of its runs ended."""
 
-__all__ = ["Room"]
+__all__ = ["FreeCapacity"]
 
 
-class Room:
+class FreeCapacity:
     """Follow what is free on a worker while its runs end."""
 
     def __init__(self, *, cpu_milli, memory_mb, accelerators):
@@ -26,7 +26,7 @@
         self.memory_mb += spec.memory_mb
         self.accelerators += spec.accelerators
 
-    def take_all(self, spec, at_ms):
+    def allocate_all(self, spec, at_ms):
         """Take room for as many tasks as fit; return the moment once for each."""
         times = []
         while len(times) < spec.count and self.fits(spec):
@@ -44,7 +44,7 @@
             and spec.accelerators <= self.accelerators
         )
 
-    def gains_by(self, held, wanted):
+    def gains_from(self, held, wanted):
         """Tell whether a task that wants `wanted` gains by the end of another."""
         return (
             (wanted.reserved_cpu_milli > self.cpu_milli and held.reserved_cpu_milli > 0)
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/images.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/image_durations.py
@@ -2,9 +2,9 @@
 
 from collections import OrderedDict
 
-from .late_chance import LateChance
+from .lateness_probability import LatenessProbability
 
-__all__ = ["ImageTimes"]
+__all__ = ["ImageDurations"]
 
 # A new duration counts this much beside what was known.
 WEIGHT_OF_NEWEST = 0.3
@@ -18,10 +18,10 @@
 # A start is stored and sent before a task begins, its end heard and stored after it.
 OVERHEAD_MS = 100.0
 # Images are callers' text, a new one for each build: those seen last are kept.
-MOST_IMAGES = 1_000
+MAX_IMAGES = 1_000
 
 
-class ImageTimes:
+class ImageDurations:
     """Learn durations by image, since callers' estimates are far off.
 
     What is kept is the time on an ordinary worker; on a given one it is as many times
@@ -39,7 +39,7 @@
         outlier = took_ms > OUTLIER * known_ms
         weight = WEIGHT_OF_OUTLIER if outlier else WEIGHT_OF_NEWEST
         self._mean_ms[image] = known_ms + weight * (took_ms - known_ms)
-        while len(self._mean_ms) > MOST_IMAGES:
+        while len(self._mean_ms) > MAX_IMAGES:
             self._mean_ms.popitem(last=False)
 
     def known_ms(self, image):
@@ -59,7 +59,7 @@
         """Tell whether a task of a step that starts at a moment meets its objective."""
         return start_ms + self.expected_ms(step.spec, worker) < step.job.objective_ms
 
-    def late_chance(self, step, now_ms):
+    def lateness_probability(self, step, now_ms):
         """Return what judges workers for tasks of a step; None where time is no aim.
 
         What the job's later steps take is left for them.
@@ -68,7 +68,7 @@
         if step.spec.long_running or step.spec.fills_idle_cpu or not job.objective_ms:
             return None
         chain_ms = self._later_chain_ms(job.spec.steps, step.index)
-        return LateChance(
+        return LatenessProbability(
             usual_ms=self.expected_ms(step.spec),
             left_ms=job.objective_ms - chain_ms - now_ms - OVERHEAD_MS,
         )
@@ -95,8 +95,8 @@
         """Return the total time at the pace that was seen, None if there is none."""
         span_ms = run.listed_ms - run.first_listed_ms
         first_percent = run.first_percent
-        was_seen_whole = not run.resumed and not run.was_begun_before
-        if span_ms < SHORTEST_SPAN_MS and was_seen_whole:
+        has_known_duration = not run.resumed and not run.started_by_previous_owner
+        if span_ms < SHORTEST_SPAN_MS and has_known_duration:
             span_ms = run.listed_ms - run.began_ms
             first_percent = 0
         if span_ms < SHORTEST_SPAN_MS or run.percent < 0:
@@ -112,7 +112,7 @@
         known_ms = self._known_work_ms(run.step)
         if known_ms is None:
             return 0.0
-        usual_ms = known_ms * run.worker.sound_slowness
+        usual_ms = known_ms * run.worker.healthy_slowness
         total_ms = self._pace_total_ms(run)
         if total_ms is None:
             # It was never listed: late if it should have ended a while ago.
@@ -131,7 +131,7 @@
         total_ms = self._pace_total_ms(run)
         if known_ms is None or total_ms is None:
             return None
-        return total_ms / (known_ms * run.worker.sound_slowness)
+        return total_ms / (known_ms * run.worker.healthy_slowness)
 
     def _known_work_ms(self, step):
         """Return what a task takes on an ordinary worker, None where it isn't known."""
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/log_belief.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/log_estimate.py
@@ -2,11 +2,11 @@
 
 from attrs import define
 
-__all__ = ["LogBelief"]
+__all__ = ["LogEstimate"]
 
 
 @define(kw_only=True)
-class LogBelief:
+class LogEstimate:
     """Keep mean and variance of the logarithm of a quantity; doubt grows with time.
 
     Units: natural logarithms, `*_ms` on the steady clock.
@@ -15,17 +15,17 @@
     mean: float
     variance: float
     at_ms: float
-    most_variance: float
+    max_variance: float
 
-    def age(self, now_ms, per_s):
+    def add_drift(self, now_ms, per_s):
         """Let the variance grow since the last time by so much a second."""
         grown = self.variance + per_s * max(0.0, now_ms - self.at_ms) / 1000.0
-        self.variance = min(self.most_variance, grown)
+        self.variance = min(self.max_variance, grown)
         self.at_ms = now_ms
 
-    def doubt(self, variance):
+    def add_variance(self, variance):
         """Keep the mean, with more doubt."""
-        self.variance = min(self.most_variance, self.variance + variance)
+        self.variance = min(self.max_variance, self.variance + variance)
 
     def move(self, residual, *, total_variance, weight=1.0):
         """Take this quantity's part of what an observation differs by."""
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/speed_learner.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/speed_learner.py
@@ -2,8 +2,8 @@
 
 from math import exp
 
-from ..effects import TellSpeeds
-from .speed_news import SpeedNews
+from ..effects import AnnounceSpeeds
+from .speed_announcements import SpeedAnnouncements
 
 __all__ = ["SpeedLearner"]
 
@@ -27,11 +27,11 @@
 class SpeedLearner:
     """Learn from good ends and give each worker its slowness."""
 
-    def __init__(self, *, context, images, speeds):
+    def __init__(self, *, context, durations, speeds):
         self._context = context
-        self._images = images
+        self._durations = durations
         self._speeds = speeds
-        self._news = SpeedNews(speeds=speeds)
+        self._news = SpeedAnnouncements(speeds=speeds)
         self._review_due_ms = 0.0
         self._note_due_ms = 0.0
         self._tell_due_ms = 0.0
@@ -39,16 +39,16 @@
     def on_done(self, run, now_ms):
         """Learn from the good end of a run that this owner saw begin."""
         took_ms = now_ms - run.began_ms
-        self._images.learn(run.step.image, took_ms / run.slowness)
-        if not run.has_told_speed:
+        self._durations.learn(run.step.image, took_ms / run.slowness)
+        if not run.is_speed_learned:
             self._learn(run, took_ms, now_ms)
 
     def _learn_from_progress(self, now_ms):
         """Learn from runs that are some way on: long ones end only much later."""
         for worker in self._context.workers.values():
             for run in worker.runs.values():
-                if not run.has_told_speed and _is_some_way_on(run):
-                    run.has_told_speed = True
+                if not run.is_speed_learned and _is_some_way_on(run):
+                    run.is_speed_learned = True
                     span_ms = run.listed_ms - run.began_ms
                     self._learn(run, span_ms * 100.0 / run.percent, now_ms)
 
@@ -88,12 +88,12 @@
         if not machines:
             return
         if self._speeds.review(machines):
-            kind = "uneven" if self._speeds.is_uneven else "even"
+            kind = "uneven" if self._speeds.is_heterogeneous else "even"
             self._context.count("speeds", kind)
             self._context.note("workers_are", speeds=kind, workers=len(machines))
         for worker in workers:
             worker.slowness = self._speeds.slowness(worker.machine)
-        if not self._speeds.is_uneven:
+        if not self._speeds.is_heterogeneous:
             return
         self._note(machines, now_ms)
         self._tell(machines, now_ms)
@@ -126,14 +126,14 @@
         if now_ms < self._tell_due_ms:
             return
         self._tell_due_ms = now_ms + TELL_MS
-        news = self._news.take(machines, MOST_TOLD, now_ms)
+        news = self._news.next_batch(machines, MOST_TOLD, now_ms)
         if news:
-            self._context.emit(TellSpeeds(speeds=tuple(news)))
+            self._context.emit(AnnounceSpeeds(speeds=tuple(news)))
 
 
 def _is_some_way_on(run):
     """Tell whether a run's progress tells how long it takes."""
-    if run.percent < LEAST_PERCENT or run.percent >= 100 or not run.was_seen_whole:
+    if run.percent < LEAST_PERCENT or run.percent >= 100 or not run.has_known_duration:
         return False
     return run.percent_changed_ms - run.began_ms >= LEAST_SPAN_MS
 
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_images.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_image_durations.py
@@ -4,22 +4,22 @@
 
 import pytest
 
-from thymefork_cells.estimates import ImageTimes
-from thymefork_cells.estimates.images import MOST_IMAGES
+from thymefork_cells.estimates import ImageDurations
+from thymefork_cells.estimates.image_durations import MAX_IMAGES
 from thymefork_cells.specs import StepSpec, WorkerEntry
 from thymefork_cells.state import Run, RunState, Worker
 
 
 def test_images_seen_last_are_kept_and_no_more():
     """Callers name images as they like, such as one for each build."""
-    images = ImageTimes()
-    for number in range(3 * MOST_IMAGES):
-        images.learn("steady", 100.0)
-        images.learn(f"build-{number}", 200.0)
-    assert images.known_ms("steady") == 100.0
-    assert images.known_ms(f"build-{3 * MOST_IMAGES - 1}") == 200.0
-    assert images.known_ms("build-0") is None
-    assert len(images._mean_ms) == MOST_IMAGES
+    durations = ImageDurations()
+    for number in range(3 * MAX_IMAGES):
+        durations.learn("steady", 100.0)
+        durations.learn(f"build-{number}", 200.0)
+    assert durations.known_ms("steady") == 100.0
+    assert durations.known_ms(f"build-{3 * MAX_IMAGES - 1}") == 200.0
+    assert durations.known_ms("build-0") is None
+    assert len(durations._mean_ms) == MAX_IMAGES
 
 
 def run_at_half(slowness, after_ms):
@@ -54,8 +54,8 @@
 def test_what_is_usual_on_a_slow_worker_is_no_overrun_unless_it_is_sick(
     slowness, factor
 ):
-    images = ImageTimes()
-    images.learn("i", 1_000.0)
+    durations = ImageDurations()
+    durations.learn("i", 1_000.0)
     run = run_at_half(slowness, 500.0 * slowness)
-    assert images.overrun_factor(run) == pytest.approx(factor)
-    assert (images.late_ms(run, run.listed_ms) > 0) is (factor > 2.0)
+    assert durations.overrun_factor(run) == pytest.approx(factor)
+    assert (durations.late_ms(run, run.listed_ms) > 0) is (factor > 2.0)
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_worker_speeds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_worker_speeds.py
@@ -8,7 +8,7 @@
 
 from thymefork_cells.estimates import (
     LearnedSpeed,
-    SpeedNews,
+    SpeedAnnouncements,
     WorkerSpeeds,
     worker_speeds,
 )
@@ -87,7 +87,7 @@
 def test_speeds_are_known_after_few_runs(seed):
     fleet = Fleet(UNEVEN, seed=seed)
     fleet.run_each(6)
-    assert fleet.speeds.is_uneven
+    assert fleet.speeds.is_heterogeneous
     assert fleet.share_known() >= 0.8
 
 
@@ -112,14 +112,14 @@
     fleet = Fleet([1.0] * 24, seed=seed, tail_share=0.03, estimate_spread=0.9)
     for _ in range(40):
         fleet.run_each(1)
-        assert not fleet.speeds.is_uneven
+        assert not fleet.speeds.is_heterogeneous
         assert {fleet.speeds.slowness(m) for m in fleet.slowness} == {1.0}
 
 
 def test_estimates_that_are_all_too_high_make_nobody_fast():
     fleet = Fleet([1.0] * 24)
     fleet.run_each(40, bias=2.0)
-    assert not fleet.speeds.is_uneven
+    assert not fleet.speeds.is_heterogeneous
 
 
 def test_a_machine_that_is_slow_for_a_while_is_not_remembered_as_slow():
@@ -163,7 +163,7 @@
     fleet.born_epoch_ms = 2
     fleet.run_each(1)
     assert abs(fleet.speeds.log_slowness("m2") - known) < 0.25
-    assert fleet.speeds.is_uneven
+    assert fleet.speeds.is_heterogeneous
 
 
 def test_what_an_earlier_owner_told_counts_at_once_and_is_corrected():
@@ -178,12 +178,12 @@
     fleet = Fleet([1.0] * 24)
     fleet.speeds = speeds
     fleet.run_each(30)
-    assert not speeds.is_uneven
+    assert not speeds.is_heterogeneous
 
 
 def test_machines_and_images_that_are_kept_are_bounded(monkeypatch):
-    monkeypatch.setattr(worker_speeds, "MOST_MACHINES", 10)
-    monkeypatch.setattr(worker_speeds, "MOST_IMAGES", 5)
+    monkeypatch.setattr(worker_speeds, "MAX_MACHINES", 10)
+    monkeypatch.setattr(worker_speeds, "MAX_IMAGES", 5)
     fleet = Fleet([1.0] * 30)
     fleet.run_each(3)
     assert len(fleet.speeds._machines) == 10
@@ -194,13 +194,13 @@
     fleet = Fleet(UNEVEN)
     fleet.run_each(10)
     machines = list(fleet.slowness)
-    news = SpeedNews(speeds=fleet.speeds)
-    first = news.take(machines, 10, fleet.now_ms)
-    second = news.take(machines, 100, fleet.now_ms)
+    news = SpeedAnnouncements(speeds=fleet.speeds)
+    first = news.next_batch(machines, 10, fleet.now_ms)
+    second = news.next_batch(machines, 100, fleet.now_ms)
     assert len(first) == 10
     assert not {row.machine for row in first} & {row.machine for row in second}
     fleet.run_each(1)
-    assert len(news.take(machines, 100, fleet.now_ms)) <= 5
+    assert len(news.next_batch(machines, 100, fleet.now_ms)) <= 5
 
 
 def test_machines_are_told_apart_by_how_far_they_are_off():
@@ -225,10 +225,10 @@
         )
         if number % 50 == 0:
             speeds.review([f"m{number // 3 - k}" for k in range(24)])
-    assert len(speeds._machines) <= worker_speeds.MOST_MACHINES
+    assert len(speeds._machines) <= worker_speeds.MAX_MACHINES
     for machine in speeds._machines.values():
-        assert abs(machine.belief.mean) < 50
-        assert machine.belief.variance > 0
+        assert abs(machine.estimate.mean) < 50
+        assert machine.estimate.variance > 0
 
 
 def test_estimates_that_are_all_off_do_not_move_what_is_ordinary():
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/worker_speeds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/worker_speeds.py
@@ -7,9 +7,9 @@
 
 from attrs import define
 
-from ..state.worker import FAR_SLOWER
-from .log_belief import LogBelief
-from .spread import RUN_VARIANCE
+from ..state.worker import FAR_SLOWER_FACTOR
+from .duration_variance import RUN_VARIANCE
+from .log_estimate import LogEstimate
 
 __all__ = ["LearnedSpeed", "WorkerSpeeds"]
 
@@ -51,9 +51,9 @@
 EVEN_SHARE = 0.04
 # Slowness is told in steps of this factor: less makes no difference to any decision.
 SLOWNESS_QUANTUM = log(1.1)
-MOST_IMAGES = 1_000
+MAX_IMAGES = 1_000
 MOST_STEPS = 400
-MOST_MACHINES = 4_000
+MAX_MACHINES = 4_000
 
 
 @define(kw_only=True)
@@ -71,7 +71,7 @@
     `off_*` tells of runs in a row that were off one way.
     """
 
-    belief: LogBelief
+    estimate: LogEstimate
     born_epoch_ms: int = 0
     noted: str = "ordinary"
     off_runs: int = 0
@@ -92,7 +92,7 @@
         self._images = OrderedDict()
         self._steps = OrderedDict()
         self._machines = OrderedDict()
-        self.is_uneven = False
+        self.is_heterogeneous = False
 
     def learn(self, *, worker, step_name, step, took_ms, now_ms):
         """Note the good end of a whole run; tell whether it was set aside."""
@@ -100,15 +100,15 @@
         image = self._image(step, now_ms)
         work = self._work(step_name, step, image, now_ms)
         took = log(max(1.0, took_ms))
-        residual = took - work.mean - known.belief.mean
-        total = known.belief.variance + work.variance + RUN_VARIANCE
+        residual = took - work.mean - known.estimate.mean
+        total = known.estimate.variance + work.variance + RUN_VARIANCE
         deviations = abs(residual) / sqrt(total)
         is_outlier = residual > 0.0 and deviations > OUTLIER_DEVIATIONS
         weight = min(1.0, DOUBTED_DEVIATIONS / max(deviations, 1e-9))
         if is_outlier:
             weight = WEIGHT_OF_OUTLIER
-        residual_of_image = took - image.mean - known.belief.mean
-        known.belief.move(residual, total_variance=total, weight=weight)
+        residual_of_image = took - image.mean - known.estimate.mean
+        known.estimate.move(residual, total_variance=total, weight=weight)
         work.move(residual, total_variance=total, weight=weight)
         image.move(
             residual_of_image,
@@ -122,14 +122,14 @@
     def _machine(self, machine, born_epoch_ms, now_ms):
         known = self._machines.pop(machine, None)
         if known is None:
-            known = _Machine(belief=_belief(0.0, MACHINE_VARIANCE, now_ms))
+            known = _Machine(estimate=_belief(0.0, MACHINE_VARIANCE, now_ms))
             known.born_epoch_ms = born_epoch_ms
         self._machines[machine] = known
-        _drop_oldest(self._machines, MOST_MACHINES)
-        known.belief.age(now_ms, MACHINE_DRIFT_PER_S)
+        _drop_oldest(self._machines, MAX_MACHINES)
+        known.estimate.add_drift(now_ms, MACHINE_DRIFT_PER_S)
         if born_epoch_ms != known.born_epoch_ms:
             if known.born_epoch_ms:
-                known.belief.doubt(RESTART_DOUBT)
+                known.estimate.add_variance(RESTART_DOUBT)
             known.born_epoch_ms = born_epoch_ms
         return known
 
@@ -138,10 +138,10 @@
         image = self._images.pop(step.image, None) if step.image else None
         if image is None:
             image = _belief(_estimate(step), IMAGE_VARIANCE, now_ms)
-        image.age(now_ms, IMAGE_DRIFT_PER_S)
+        image.add_drift(now_ms, IMAGE_DRIFT_PER_S)
         if step.image:
             self._images[step.image] = image
-            _drop_oldest(self._images, MOST_IMAGES)
+            _drop_oldest(self._images, MAX_IMAGES)
         return image
 
     def _work(self, step_name, step, image, now_ms):
@@ -173,54 +173,59 @@
         else:
             has_changed = machine.off_runs >= RECOVERED_RUNS
         if has_changed:
-            machine.belief.doubt(MACHINE_VARIANCE)
+            machine.estimate.add_variance(MACHINE_VARIANCE)
             machine.off_sign = 0
 
     def inherit(self, speeds, now_ms):
         """Begin with what an earlier owner has told, unless it is known here."""
         for speed in speeds:
             if speed.machine not in self._machines:
-                belief = _belief(speed.log_slowness, INHERITED_VARIANCE, now_ms)
-                self._machines[speed.machine] = _Machine(belief=belief)
-        _drop_oldest(self._machines, MOST_MACHINES)
+                estimate = _belief(speed.log_slowness, INHERITED_VARIANCE, now_ms)
+                self._machines[speed.machine] = _Machine(estimate=estimate)
+        _drop_oldest(self._machines, MAX_MACHINES)
 
     # What is known ------------------------------------------------------------
 
     def log_slowness(self, machine):
         """Return the logarithm of a machine's slowness, 0 while nothing is known."""
         known = self._machines.get(machine)
-        return known.belief.mean if known is not None else 0.0
+        return known.estimate.mean if known is not None else 0.0
 
     def known_log_slowness(self, machine):
         """Return the logarithm of a machine's slowness, None while it is doubtful."""
         known = self._machines.get(machine)
-        if known is None or known.belief.variance > KNOWN_VARIANCE:
+        if known is None or known.estimate.variance > KNOWN_VARIANCE:
             return None
-        return known.belief.mean
+        return known.estimate.mean
 
     def slowness(self, machine):
         """Return how many times as long as on an ordinary worker runs take.
 
         Exactly 1 while workers are alike, as far as is known.
         """
-        if not self.is_uneven:
+        if not self.is_heterogeneous:
             return 1.0
         quanta = round(self.log_slowness(machine) / SLOWNESS_QUANTUM)
         return exp(SLOWNESS_QUANTUM * quanta)
 
     def review(self, machines):
         """Judge whether the present machines are uneven; tell whether that changed."""
-        beliefs = [self._machines[m].belief for m in machines if m in self._machines]
-        known = [belief for belief in beliefs if belief.variance <= KNOWN_VARIANCE]
+        beliefs = [self._machines[m].estimate for m in machines if m in self._machines]
+        known = [
+            estimate for estimate in beliefs if estimate.variance <= KNOWN_VARIANCE
+        ]
         if not known:
             return False
         if 2 * len(known) >= len(machines):
             self._center(known)
-        middle = median(belief.mean for belief in known)
-        notable = sum(_is_notable(belief, middle) for belief in known)
-        share = EVEN_SHARE if self.is_uneven else UNEVEN_SHARE
-        was, self.is_uneven = self.is_uneven, notable >= max(2, share * len(known))
-        return was != self.is_uneven
+        middle = median(estimate.mean for estimate in known)
+        notable = sum(_is_notable(estimate, middle) for estimate in known)
+        share = EVEN_SHARE if self.is_heterogeneous else UNEVEN_SHARE
+        was, self.is_heterogeneous = (
+            self.is_heterogeneous,
+            notable >= max(2, share * len(known)),
+        )
+        return was != self.is_heterogeneous
 
     def _center(self, known):
         """Call the average worker ordinary; what steps take moves the other way.
@@ -228,9 +233,9 @@
         Durations alone don't tell how much of them is due to the workers, and callers'
         estimates may be off all one way.
         """
-        offset = fmean(belief.mean for belief in known)
+        offset = fmean(estimate.mean for estimate in known)
         for machine in self._machines.values():
-            machine.belief.mean -= offset
+            machine.estimate.mean -= offset
         for work in chain(self._images.values(), self._steps.values()):
             work.mean += offset
 
@@ -250,7 +255,7 @@
 
 def _belief(mean, variance, now_ms):
     most = max(variance, MACHINE_VARIANCE)
-    return LogBelief(mean=mean, variance=variance, at_ms=now_ms, most_variance=most)
+    return LogEstimate(mean=mean, variance=variance, at_ms=now_ms, max_variance=most)
 
 
 def _estimate(step):
@@ -262,13 +267,13 @@
         rows.popitem(last=False)
 
 
-def _is_notable(belief, middle):
-    bound = max(NOTABLE, NOTABLE_DEVIATIONS * sqrt(belief.variance))
-    return abs(belief.mean - middle) > bound
+def _is_notable(estimate, middle):
+    bound = max(NOTABLE, NOTABLE_DEVIATIONS * sqrt(estimate.variance))
+    return abs(estimate.mean - middle) > bound
 
 
 def _kind(log_slowness):
-    if log_slowness > log(FAR_SLOWER):
+    if log_slowness > log(FAR_SLOWER_FACTOR):
         return "far_slower"
     if log_slowness > NOTABLE:
         return "slow"
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/__init__.py
@@ -16,19 +16,19 @@
 from .job_loader import JobLoader
 from .journal import Batch, Journal
 from .lifecycle import Lifecycle
-from .unstored_ends import TELL_AFTER_MS, UnstoredEnds
+from .unstored_ends import ANNOUNCE_AFTER_MS, UnstoredEnds
 
 __all__ = [
+    "ANNOUNCE_AFTER_MS",
+    "JOB_KEY",
+    "PROGRESS_KEY",
+    "STORE_AWAY_RETRY_MS",
     "Batch",
     "InheritedEnds",
     "Intake",
-    "JOB_KEY",
     "JobLoader",
     "Journal",
     "Lifecycle",
-    "PROGRESS_KEY",
-    "STORE_AWAY_RETRY_MS",
-    "TELL_AFTER_MS",
     "UnstoredEnds",
     "decode_progress",
     "decode_spec",
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/codec.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/codec.py
@@ -4,7 +4,7 @@
 import orjson
 
 from ..specs import JobSpec, StepSpec
-from ..state import Job, JobState, Loss, Run, RunState
+from ..state import Job, JobState, Run, RunState, WorkerLoss
 
 __all__ = [
     "JOB_KEY",
@@ -77,7 +77,7 @@
         spec=JobSpec(),
         accepted_ms=0.0,
         state=JobState(state),
-        shown_state=JobState(state),
+        visible_state=JobState(state),
     )
 
 
@@ -156,14 +156,14 @@
     """Bring a job to the stored progress; `worker_of` finds a worker by its id."""
     state, rows = orjson.loads(data)
     job.state = JobState(state)
-    job.shown_state = job.state
+    job.visible_state = job.state
     for position, done, tasks, gang_failures in rows:
         step = job.steps[position]
         step.gang_failures = gang_failures
         indices = range(len(step.tasks)) if done == -1 else done
         for index in indices:
             step.tasks[index].done = True
-        step.left = len(step.tasks) - len(indices)
+        step.tasks_remaining = len(step.tasks) - len(indices)
         job.has_run = job.has_run or bool(indices) or step.gang_failures > 0
         for index, *row in tasks:
             _load_task(step.tasks[index], row, worker_of)
@@ -182,14 +182,14 @@
 
 
 def _add_loss(task, worker_id, after_ms, is_certain, was_alone, born_epoch_ms):
-    loss = Loss(
+    loss = WorkerLoss(
         worker_id=worker_id,
         after_ms=after_ms,
         is_certain=is_certain,
         was_alone=was_alone,
         born_epoch_ms=born_epoch_ms,
     )
-    task.losses[loss.life] = loss
+    task.losses[loss.incarnation] = loss
 
 
 def _add_recovered(task, run_id, worker, born_epoch_ms):
@@ -199,7 +199,7 @@
         worker=worker,
         state=RunState.RECOVERED,
         born_epoch_ms=born_epoch_ms,
-        pace_told_percent=None,
+        acknowledged_pace_percent=None,
     )
     task.runs.append(run)
     worker.add(run)
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
@@ -33,7 +33,7 @@
         elif _is_of_other(job, account_name):
             self._refuse_other(request_id, job, account_name)
             return
-        elif job.shown_state is not None:
+        elif job.visible_state is not None:
             self._lifecycle.reply(request_id, Outcome.ACCEPTED)
             return
         reply = Reply(request_id=request_id, outcome=Outcome.ACCEPTED, job_id=job_id)
@@ -96,10 +96,10 @@
             self._context.live_jobs.pop(job.job_id, None)
             self._context.note("job_withdrawn", job=job.job_id, reason="not stored")
 
-    def give_up(self, job_id, *, now_ms):
+    def abandon(self, job_id, *, now_ms):
         """Refuse a new job that no append has held, as its caller's time is over."""
         journal = self._context.journal
-        if not journal.is_untaken(job_id):
+        if not journal.is_unsent(job_id):
             return
         self.withdraw([self._context.jobs[job_id]], now_ms=now_ms)
         journal.forget({job_id})
@@ -118,35 +118,35 @@
         queue = self._context.queue(job)
         if queue is None:
             return 0.0
-        return queue.stretch * chain_ms(job.spec) + queue.target_latency_ms
+        return queue.stretch * critical_path_ms(job.spec) + queue.target_latency_ms
 
-    def knows(self, job_id):
+    def is_stored(self, job_id):
         """Tell whether a job of that id is stored."""
         job = self._context.jobs.get(job_id)
-        return job is not None and job.shown_state is not None
+        return job is not None and job.visible_state is not None
 
-    def has_seen(self, job_id):
+    def has_job(self, job_id):
         """Tell whether a job of that id is stored, or about to be."""
         return job_id in self._context.jobs
 
     def read(self, request_id, job_id, *, account_name=""):
         """Tell a job's stored state."""
         job = self._context.jobs.get(job_id)
-        if job is None or job.shown_state is None:
+        if job is None or job.visible_state is None:
             self._lifecycle.reply(request_id, Outcome.UNKNOWN_JOB)
             return
         if _is_of_other(job, account_name):
             self._refuse_other(request_id, job, account_name)
             return
-        state = job.shown_state
-        if state is JobState.QUEUED and job.has_begun:
+        state = job.visible_state
+        if state is JobState.QUEUED and job.has_started:
             state = JobState.RUNNING
         self._lifecycle.reply(request_id, Outcome.STATE, state=str(state))
 
     def cancel(self, request_id, job_id, *, now_ms, account_name=""):
         """Cancel a job; answered once that is stored."""
         job = self._context.jobs.get(job_id)
-        if job is None or (job.shown_state and job.shown_state.is_final):
+        if job is None or (job.visible_state and job.visible_state.is_final):
             self._lifecycle.reply(request_id, Outcome.UNKNOWN_JOB)
             return
         if _is_of_other(job, account_name):
@@ -155,7 +155,7 @@
         if job.is_live:
             reason = "its caller cancelled it"
             self._lifecycle.finish(job, JobState.CANCELLED, reason, now_ms=now_ms)
-        self._context.journal.change(job)
+        self._context.journal.mark_changed(job)
         reply = Reply(request_id=request_id, outcome=Outcome.CANCELLED, job_id=job_id)
         self._context.journal.after(reply)
 
@@ -165,7 +165,7 @@
             1
             for job in self._context.live_jobs.values()
             if job.queue_name == queue_name
-            and job.shown_state is not None
+            and job.visible_state is not None
             and not job.has_run
         )
         self._lifecycle.reply(request_id, Outcome.COUNTED, count=count)
@@ -176,7 +176,7 @@
     return bool(job.account_name and account_name) and job.account_name != account_name
 
 
-def chain_ms(spec):
+def critical_path_ms(spec):
     """Return the longest chain of estimated work through a job's steps."""
     longest = []
     for step in spec.steps:
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
@@ -3,7 +3,7 @@
 from attrs import field, frozen
 
 from .codec import JOB_KEY, PROGRESS_KEY, decode_progress, load_ended_job, load_job
-from .intake import chain_ms
+from .intake import critical_path_ms
 
 __all__ = ["JobLoader"]
 
@@ -44,7 +44,7 @@
             epoch_ms=epoch_ms,
             now_ms=now_ms,
         )
-        job.shown_state = job.state
+        job.visible_state = job.state
         if progress is not None:
             decode_progress(job, progress, self._worker_of)
         return job
@@ -52,7 +52,9 @@
     def _resume(self, job, now_ms):
         queue = self._context.queue(job)
         if queue is not None:
-            objective_ms = queue.stretch * chain_ms(job.spec) + queue.target_latency_ms
+            objective_ms = (
+                queue.stretch * critical_path_ms(job.spec) + queue.target_latency_ms
+            )
             job.objective_ms = job.accepted_ms + objective_ms
         if not job.is_live:
             job.ended_ms = now_ms
@@ -60,7 +62,7 @@
                 self._lifecycle.stop(run, f"the job is {job.state}", now_ms=now_ms)
         else:
             self._context.live_jobs[job.job_id] = job
-            self._losses.adopt(job)
+            self._losses.load_losses(job)
         self._context.jobs[job.job_id] = job
 
     def _judge_shares(self):
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
@@ -11,7 +11,7 @@
 __all__ = ["Batch", "Journal"]
 
 # One append carries at most this much; the store takes 2 MB a call.
-MOST_BATCH_BYTES = 1_000_000
+MAX_BATCH_BYTES = 1_000_000
 
 
 @define(kw_only=True, eq=False)
@@ -26,7 +26,7 @@
     others: dict = field(factory=dict)
     effects: list = field(factory=list)
     new_jobs: list = field(factory=list)
-    shown: list = field(factory=list)
+    job_states: list = field(factory=list)
     size_bytes: int = 0
     last_number: int = 0
 
@@ -90,10 +90,10 @@
     def add(self, job):
         """Store a job that is new."""
         self._new_jobs[job.job_id] = job
-        self.change(job)
+        self.mark_changed(job)
         self.is_urgent = True
 
-    def change(self, job):
+    def mark_changed(self, job):
         """Store a job's progress; it keeps its place where it waits already."""
         self.is_urgent = self.is_urgent or not job.is_live
         if job.job_id not in self._changes:
@@ -124,11 +124,11 @@
         self._held = [row for row in self._held if row not in taken]
         return [row.effect for row in taken]
 
-    def is_untaken(self, job_id):
+    def is_unsent(self, job_id):
         """Tell whether a job is new and no append has held it."""
         return job_id in self._new_jobs
 
-    def take_replies_of_untaken(self):
+    def take_replies_of_unsent(self):
         """Return the replies about new jobs that no append has held, and drop them."""
         return self.take_replies(set(self._new_jobs))
 
@@ -145,7 +145,9 @@
         """
         self.is_urgent = True
         number = batch.last_number
-        again = {job.job_id: _Change(job=job, number=number) for job, _ in batch.shown}
+        again = {
+            job.job_id: _Change(job=job, number=number) for job, _ in batch.job_states
+        }
         later = {key: row for key, row in self._changes.items() if key not in again}
         self._changes = again | later
         self._others = batch.others | self._others
@@ -167,10 +169,10 @@
             batch.add(key, b"")
         self._dropped_keys = []
         epoch_ms = time.time() * 1000.0
-        while self._changes and batch.size_bytes <= MOST_BATCH_BYTES:
-            change = self._changes.pop(next(iter(self._changes)))
-            batch.last_number = change.number
-            self._put(batch, change.job, epoch_ms, now_ms)
+        while self._changes and batch.size_bytes <= MAX_BATCH_BYTES:
+            mark_changed = self._changes.pop(next(iter(self._changes)))
+            batch.last_number = mark_changed.number
+            self._put(batch, mark_changed.job, epoch_ms, now_ms)
         self._taken_number = batch.last_number
         self._release_effects(batch)
         return batch
@@ -184,9 +186,9 @@
         elif is_new:
             value = store_job(job, epoch_ms=epoch_ms, now_ms=now_ms)
             batch.add(JOB_KEY + job.job_id, value)
-        if job.state is not JobState.QUEUED or job.has_begun:
+        if job.state is not JobState.QUEUED or job.has_started:
             batch.add(PROGRESS_KEY + job.job_id, encode_progress(job))
-        batch.shown.append((job, job.state))
+        batch.job_states.append((job, job.state))
 
     @staticmethod
     def _drop_description(batch, job, *, was_stored):
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/lifecycle.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/lifecycle.py
@@ -20,14 +20,14 @@
         if run.state is RunState.GONE:
             return
         run.state = RunState.GONE
-        self._context.owed_stops.pop(run, None)
+        self._context.pending_stops.pop(run, None)
         run.worker.remove(run)
         run.worker.health.gone(run)
         run.task.runs.remove(run)
-        run.task.step.touch()
-        run.task.lost_ms = now_ms
+        run.task.step.invalidate_waiting()
+        run.task.last_lost_ms = now_ms
         self._context.needs_plan = True
-        self._context.journal.change(run.task.step.job)
+        self._context.journal.mark_changed(run.task.step.job)
 
     def end(self, run, how, checkpoint, *, now_ms):
         """Apply an end that a worker has listed."""
@@ -69,14 +69,14 @@
         if how == "done":
             self._complete(task, run_id, now_ms)
             self._finish_if_done(job, now_ms)
-        elif how == "failed" and run_id in task.given_up:
-            task.given_up.discard(run_id)
+        elif how == "failed" and run_id in task.expired_runs:
+            task.expired_runs.discard(run_id)
             self._count_failure(task, run_id, now_ms)
         else:
             return
         self._context.count("run_ends", f"{how}_late")
         self._context.note("run_ended_late", task=task_name, run=run_id, how=how)
-        self._context.journal.change(job)
+        self._context.journal.mark_changed(job)
         self._context.needs_plan = True
 
     def _task_named(self, task_name):
@@ -97,7 +97,7 @@
         run.worker.health.succeeded()
         if step.spec.long_running:
             return
-        if run.began_ms and not run.was_begun_before:
+        if run.began_ms and not run.started_by_previous_owner:
             run.task.worked_ms = (now_ms - run.began_ms) / run.slowness
         self._complete(run.task, run.run_id, now_ms)
         self._finish_if_done(step.job, now_ms)
@@ -108,11 +108,11 @@
         if step.spec.gang:
             for member in step.tasks:
                 member.done = True
-            step.left = 0
+            step.tasks_remaining = 0
         elif not task.done:
             task.done = True
-            step.left -= 1
-        step.touch()
+            step.tasks_remaining -= 1
+        step.invalidate_waiting()
         self._stop_others(task, run_id, now_ms)
 
     def _stop_others(self, task, run_id, now_ms):
@@ -138,7 +138,7 @@
                 failures_in_row=worker.health.failures_in_row,
                 until_in_ms=round(worker.health.paused_until_ms - now_ms),
             )
-        task.avoided.add(worker.worker_id)
+        task.avoided_workers.add(worker.worker_id)
         if not step.spec.long_running:
             self._count_failure(task, run.run_id, now_ms)
 
@@ -170,7 +170,7 @@
         job.ended_ms = now_ms
         self._context.live_jobs.pop(job.job_id, None)
         dropped, stopped = self._leave(job, now_ms)
-        self._context.journal.change(job)
+        self._context.journal.mark_changed(job)
         self._context.needs_plan = True
         self._context.count("jobs_ended", str(state))
         self._context.observe(
@@ -238,18 +238,18 @@
         run.state = RunState.STOPPING
         run.stop_reason = reason
         if was_sent:
-            run.stop_owed_ms = now_ms
+            run.stop_pending_since_ms = now_ms
             run.stop_due_ms = now_ms
-            self._context.owed_stops[run] = None
+            self._context.pending_stops[run] = None
             has_address = bool(run.worker.entry.host)
             self._context.count("stops", "owed" if has_address else "no_address")
 
-    def stop_again(self, run, *, now_ms):
+    def resend_stop(self, run, *, now_ms):
         """Have a run stopped that goes on though its stop was answered."""
         run.stop_clock_ms = 0
         run.stop_due_ms = now_ms
         run.worker.stopped.discard(run.key)
-        self._context.owed_stops[run] = None
+        self._context.pending_stops[run] = None
         self._context.count("retries", "stop_in_vain")
 
     def reply(self, request_id, outcome, **fields):
--- a/packages/thymefork-cells/src/thymefork_cells/placing/trials.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
@@ -9,14 +9,14 @@
 
 from functools import partial
 
-from ..state import Trial, are_alike
-from ..workers.worker_losses import MOST_CRASHES, MOST_LOSSES, trial_ms
-from .worker_choice import DOUBT_PENALTY, REMOTE_PENALTY
+from ..state import Isolation, have_similar_timing
+from ..workers.worker_losses import MAX_CRASHES, MAX_LOSSES, clearing_time_ms
+from .worker_ranking import REMOTE_PENALTY, UNRELIABLE_PENALTY
 
-__all__ = ["APART_AFTER", "Trials"]
+__all__ = ["ISOLATE_AFTER_LOSSES", "CrashIsolation"]
 
 # From this many losses on, known or suspected, a task runs apart, one run at a time.
-APART_AFTER = 2
+ISOLATE_AFTER_LOSSES = 2
 # A task that has to run apart waits this long for a worker to become empty, about as
 # long as a short task runs. Then it goes where least runs.
 APART_PATIENCE_MS = 1_000.0
@@ -25,22 +25,26 @@
 WORD_PATIENCE_MS = 1_500.0
 
 
-class Trials:
+class CrashIsolation:
     """Choose workers for suspected tasks, and keep others off them."""
 
     @staticmethod
-    def is_suspected(task, now_ms):
+    def is_crash_suspect(task, now_ms):
         """Tell whether a task may have crashed workers, so that it starts with care."""
-        if len(task.losses) >= APART_AFTER:
+        if len(task.losses) >= ISOLATE_AFTER_LOSSES:
             return True
-        return task.may_crash_workers or task.suspicion(now_ms) > len(task.losses)
+        return task.may_crash_workers or task.suspected_crashes(now_ms) > len(
+            task.losses
+        )
 
     @staticmethod
-    def is_ready(task, now_ms):
+    def can_start(task, now_ms):
         """Tell whether a suspected task may be started at all."""
-        if len(task.losses) < MOST_CRASHES or not are_alike(task.losses.values()):
+        if len(task.losses) < MAX_CRASHES or not have_similar_timing(
+            task.losses.values()
+        ):
             return True
-        return now_ms - task.lost_ms > WORD_PATIENCE_MS
+        return now_ms - task.last_lost_ms > WORD_PATIENCE_MS
 
     @staticmethod
     def workers_for(step, tasks, workers, now_ms):
@@ -55,34 +59,34 @@
         empty = [worker for worker in workers if not worker.runs_of_others(job)]
         if empty:
             return empty
-        since_ms = max([step.ready_ms, *(task.lost_ms for task in tasks)])
+        since_ms = max([step.ready_ms, *(task.last_lost_ms for task in tasks)])
         if now_ms - since_ms > APART_PATIENCE_MS:
             return workers
         return []
 
     def workers_for_gang(self, step, suspected, workers, now_ms):
         """Return the workers for a gang with suspected tasks, the best ones first."""
-        if not all(self.is_ready(task, now_ms) for task in suspected):
+        if not all(self.can_start(task, now_ms) for task in suspected):
             return []
         usable = self.workers_for(step, suspected, workers, now_ms)
         return sorted(usable, key=partial(self.rate, step))
 
     @staticmethod
-    def begin(task, worker, now_ms):
+    def isolate(task, worker, now_ms):
         """Keep other jobs off a worker while a task that has to run apart is tried."""
         if not _has_to_run_apart([task], now_ms):
             return
-        until_ms = now_ms + trial_ms(task)
-        if worker.trial is not None and worker.trial.job is task.step.job:
-            until_ms = max(until_ms, worker.trial.until_ms)
-        worker.trial = Trial(job=task.step.job, until_ms=until_ms)
+        until_ms = now_ms + clearing_time_ms(task)
+        if worker.isolation is not None and worker.isolation.job is task.step.job:
+            until_ms = max(until_ms, worker.isolation.until_ms)
+        worker.isolation = Isolation(job=task.step.job, until_ms=until_ms)
 
     @staticmethod
     def rate(step, worker):
         """Rate a worker for a suspected task; the lowest is best: least is at risk."""
         score = _cpu_at_risk(worker, step.job) / max(1, worker.entry.cpu_milli)
-        if worker.is_last_choice:
-            score += DOUBT_PENALTY
+        if worker.is_least_preferred:
+            score += UNRELIABLE_PENALTY
         rack = step.spec.preferred_rack
         if rack and rack != worker.entry.rack:
             score += REMOTE_PENALTY
@@ -94,9 +98,11 @@
 
 
 def _has_to_be_alone(task, now_ms):
-    if len(task.losses) >= MOST_LOSSES - 1:
+    if len(task.losses) >= MAX_LOSSES - 1:
         return True  # the next loss decides, whoever stands beside it
-    return task.suspicion(now_ms) >= APART_AFTER and are_alike(task.losses.values())
+    return task.suspected_crashes(
+        now_ms
+    ) >= ISOLATE_AFTER_LOSSES and have_similar_timing(task.losses.values())
 
 
 def _cpu_at_risk(worker, job):
--- a/packages/thymefork-cells/src/thymefork_cells/placing/untried_fit.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/exploration_scorer.py
@@ -1,6 +1,6 @@
 """Which workers to try where the known ones may be too slow for a queue's tasks."""
 
-__all__ = ["LateRisk", "UntriedFit"]
+__all__ = ["ExplorationScorer", "LatenessRisk"]
 
 # What a worker of known speed is rated worse by: more than the tightest fit counts, and
 # less than another hall, which the next step may choose.
@@ -12,7 +12,7 @@
 WEIGHT_OF_NEWEST = 0.05
 
 
-class LateRisk:
+class LatenessRisk:
     """Follow how likely each queue's tasks are late on an ordinary worker.
 
     A single step says little: its objective goes by its caller's estimate.
@@ -21,19 +21,19 @@
     def __init__(self):
         self._by_queue = {}
 
-    def note(self, queue_name, chance):
+    def update(self, queue_name, lateness):
         """Take note of a step about to start; one too late anyway says nothing."""
-        if chance >= 1.0:
+        if lateness >= 1.0:
             return
         known = self._by_queue.get(queue_name, 0.0)
-        self._by_queue[queue_name] = known + WEIGHT_OF_NEWEST * (chance - known)
+        self._by_queue[queue_name] = known + WEIGHT_OF_NEWEST * (lateness - known)
 
     def is_high(self, queue_name):
         """Tell whether a queue's tasks are worth a try on other workers."""
         return self._by_queue.get(queue_name, 0.0) > RISK
 
 
-class UntriedFit:
+class ExplorationScorer:
     """Prefer workers whose speed is not known yet; each is known after a few runs.
 
     The tightest fit alone keeps small tasks on the workers that were used first, and
--- a/packages/thymefork-cells/src/thymefork_cells/placing/gang_choice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/gang_workers.py
@@ -1,6 +1,6 @@
 """Workers for all tasks of a gang at once."""
 
-from .worker_choice import copies_in
+from .worker_ranking import task_capacity
 
 __all__ = ["workers_for_gang"]
 
@@ -31,7 +31,7 @@
     for worker in workers:
         if worker.health.on_probation:
             continue
-        slots += [worker] * copies_in(worker, spec)
+        slots += [worker] * task_capacity(worker, spec)
         if len(slots) >= spec.count:
             return slots[: spec.count]
     return None
--- a/packages/thymefork-cells/src/thymefork_cells/placing/placing_notes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placement_log.py
@@ -2,22 +2,22 @@
 
 from attrs import field, frozen
 
-__all__ = ["PlacingNotes"]
+__all__ = ["PlacementLog"]
 
 # A step that has waited this long is logged with what it lacks, and so on.
 NOTE_WAIT_MS = 2_000.0
 
 
 @frozen(kw_only=True)
-class PlacingNotes:
+class PlacementLog:
     """Tell which tasks start together, and what a step lacks that waits."""
 
     _context = field()
     _advice = field()
     _quotas = field()
-    _used_shares = field()
+    _dominant_shares = field()
 
-    def note_starts(self, step, starts, wanted, now_ms):
+    def log_starts(self, step, starts, wanted, now_ms):
         """Log one line for all tasks of a step that start together."""
         if not starts:
             return
@@ -41,17 +41,17 @@
     def _turn(self, step, count, now_ms):
         """Count starts by what gave a step its turn; return that for the log."""
         name = step.job.account_name
-        if not self._used_shares.follows(name):
+        if not self._dominant_shares.tracks(name):
             return {}
         turn = "beyond_share" if step.job.is_beyond_share else "within_share"
-        if self._used_shares.stands_still(name, now_ms):
+        if self._dominant_shares.is_starved(name, now_ms):
             turn = "stood_still"
         self._context.count("starts_by_share", turn, count)
         return {"turn": turn, "account_uses": self._account_uses(step)}
 
     def _account_uses(self, step):
         """Return the part of the room that a step's account used lately."""
-        return round(self._used_shares.used(step.job.account_name), 3)
+        return round(self._dominant_shares.used(step.job.account_name), 3)
 
     def count_speeds(self, fit, starts, workers):
         """Count starts by whether a step needs fast workers and has got one."""
@@ -61,14 +61,14 @@
         for _, worker in starts:
             self._context.count("placed_by_speed", labels[worker.slowness])
 
-    def note_wait(self, step, workers, now_ms):
+    def log_wait(self, step, workers, now_ms):
         """Log why a step's tasks have not been started for a while."""
-        if now_ms - max(step.ready_ms, step.wait_noted_ms) <= NOTE_WAIT_MS:
+        if now_ms - max(step.ready_ms, step.wait_logged_ms) <= NOTE_WAIT_MS:
             return
         waiting = step.waiting
         if not waiting:
             return
-        step.wait_noted_ms = now_ms
+        step.wait_logged_ms = now_ms
         with_ticket = self._advice.with_ticket(step, workers, now_ms)
         self._context.note(
             "step_waits",
@@ -81,7 +81,7 @@
             account=step.job.account_name,
             beyond_share=step.job.is_beyond_share,
             account_uses=self._account_uses(step),
-            account_allows=self._quotas.tasks_left(step, now_ms),
+            account_allows=self._quotas.tasks_allowed(step, now_ms),
             **_counts_of(step, workers, with_ticket),
             allowed=-1 if step.allowed is None else len(step.allowed),
             denied=len(step.denied),
@@ -91,8 +91,12 @@
 
 def _counts_of(step, workers, with_ticket):
     """Return how many workers a step may use, by what they lack."""
-    with_room = [worker for worker in workers.values() if worker.has_room(step.spec)]
-    large_enough = [worker for worker in with_ticket if worker.could_hold(step.spec)]
+    with_room = [
+        worker for worker in workers.values() if worker.has_capacity(step.spec)
+    ]
+    large_enough = [
+        worker for worker in with_ticket if worker.fits_when_empty(step.spec)
+    ]
     return {
         "workers": len(workers),
         "with_room": len(with_room),
--- a/packages/thymefork-cells/src/thymefork_cells/placing/placer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
@@ -2,19 +2,19 @@
 
 from functools import partial
 
-from ..accounts import UsedShares
+from ..accounts import DominantShares
 from ..effects import StartRun
 from ..state import JobState, Run, RunState
-from .gang_choice import workers_for_gang
-from .placing_notes import PlacingNotes
-from .speed_fit import SpeedFit
+from .exploration_scorer import ExplorationScorer, LatenessRisk
+from .gang_workers import workers_for_gang
+from .placement_log import PlacementLog
+from .speed_scorer import SpeedScorer
 from .step_order import StepOrder
-from .untried_fit import LateRisk, UntriedFit
-from .worker_choice import (
+from .worker_ranking import (
     WorkerRanking,
     best_hall,
     fit_score,
-    fits_labels,
+    has_required_label,
 )
 
 __all__ = ["Placer"]
@@ -32,40 +32,45 @@
         *,
         context,
         advice,
-        images,
+        durations,
         preemptor,
         reservations,
-        trials,
+        crash_isolation,
         quotas,
         speeds,
     ):
         self._context = context
-        self._images = images
+        self._durations = durations
         self._speeds = speeds
         self._quotas = quotas
-        self._trials = trials
+        self._trials = crash_isolation
         self._preemptor = preemptor
         self._reservations = reservations
-        used_shares = UsedShares(context=context)
-        self._order = StepOrder(context=context, images=images, used_shares=used_shares)
-        self._notes = PlacingNotes(
-            context=context, advice=advice, quotas=quotas, used_shares=used_shares
+        dominant_shares = DominantShares(context=context)
+        self._order = StepOrder(
+            context=context, durations=durations, dominant_shares=dominant_shares
+        )
+        self._notes = PlacementLog(
+            context=context,
+            advice=advice,
+            quotas=quotas,
+            dominant_shares=dominant_shares,
         )
         self._advice = advice
-        self._risk = LateRisk()
+        self._risk = LatenessRisk()
         self._by_service = {}
         self._list_due_ms = 0.0
 
     def plan(self, now_ms):
         """Intend all starts that are possible now."""
         self._context.needs_plan = False
-        if self._context.is_list_stale(now_ms):
+        if self._context.is_worker_list_stale(now_ms):
             return
         if now_ms >= self._list_due_ms:
             self._list_due_ms = now_ms + LIST_MS
             self._by_service = self._workers_by_service(now_ms)
         by_service = self._by_service
-        steps = self._quotas.in_view(self._order.steps(now_ms), now_ms)
+        steps = self._quotas.plannable_steps(self._order.steps(now_ms), now_ms)
 
         def workers_of(step):
             workers = by_service.get(self._context.service_of(step.job), {})
@@ -74,10 +79,10 @@
             return {
                 worker_id: worker
                 for worker_id, worker in workers.items()
-                if fits_labels(step, worker)
+                if has_required_label(step, worker)
             }
 
-        may_start = {step: self._quotas.tasks_left(step, now_ms) for step in steps}
+        may_start = {step: self._quotas.tasks_allowed(step, now_ms) for step in steps}
         self._reservations.review(
             [step for step in steps if may_start[step]],
             lambda step: workers_of(step).values(),
@@ -87,15 +92,15 @@
             workers = workers_of(step)
             if step.ready:
                 self._place(step, workers, now_ms)
-                self._notes.note_wait(step, workers, now_ms)
-            self._advice.consider(
+                self._notes.log_wait(step, workers, now_ms)
+            self._advice.queue_request(
                 step,
                 workers,
                 now_ms,
                 may_start=may_start[step],
-                stands_still=self._order.stands_still(step, now_ms),
+                is_starved=self._order.is_starved(step, now_ms),
             )
-        self._advice.ask(now_ms, permits=self._reservations.permits)
+        self._advice.send_requests(now_ms, permits=self._reservations.permits)
 
     def _workers_by_service(self, now_ms):
         services = {}
@@ -109,7 +114,7 @@
 
     def _place(self, step, workers, now_ms):
         waiting = self._order.startable(step, now_ms)
-        allowed = self._quotas.tasks_left(step, now_ms)
+        allowed = self._quotas.tasks_allowed(step, now_ms)
         if step.spec.gang:
             if len(waiting) == len(step.tasks) <= allowed:
                 self._place_gang(step, workers, now_ms)
@@ -120,25 +125,25 @@
         permitted = self._permitted(step, workers, now_ms)
         sound, suspected = [], []
         for task in waiting:
-            is_suspected = self._is_suspected(task, now_ms)
-            (suspected if is_suspected else sound).append(task)
+            is_crash_suspect = self._is_suspected(task, now_ms)
+            (suspected if is_crash_suspect else sound).append(task)
         starts = self._place_sound(step, sound, workers, permitted, now_ms)
         missing = len(sound) - len(starts)
         if suspected:
             starts += self._place_suspected(step, suspected, permitted, now_ms)
-        self._notes.note_starts(step, starts, len(waiting), now_ms)
+        self._notes.log_starts(step, starts, len(waiting), now_ms)
         if missing and self._preemptor.make_room(step, permitted, missing, now_ms):
             self._reservations.review_soon()  # what is freed is kept for the step
 
     def _is_suspected(self, task, now_ms):
         if not task.losses and not task.runs:
             return False  # nearly all tasks, each time
-        return self._trials.is_suspected(task, now_ms)
+        return self._trials.is_crash_suspect(task, now_ms)
 
     def _place_sound(self, step, tasks, workers, permitted, now_ms):
         """Start tasks under which no worker was lost; return each with its worker."""
         spec = step.spec
-        usable = [worker for worker in permitted if worker.has_room(spec)]
+        usable = [worker for worker in permitted if worker.has_capacity(spec)]
         if not usable:
             return []
         fit = self._speed_fit(step, now_ms)
@@ -147,9 +152,9 @@
             spec=spec,
             workers=usable,
             hall=best_hall(spec, suitable, len(tasks)),
-            counts=step.per_worker() if spec.most_per_worker else None,
-            rate=partial(fit_score, spec, speed_fit=fit),
-            may_find_others=self._advice.may_find_others(step, workers),
+            runs_per_worker=step.runs_per_worker() if spec.most_per_worker else None,
+            rate=partial(fit_score, spec, speed_scorer=fit),
+            has_unasked_workers=self._advice.has_unasked_workers(step, workers),
         )
         starts = self._start(tasks, ranking)
         if fit is not None:
@@ -158,32 +163,34 @@
 
     def _speed_fit(self, step, now_ms):
         """Return what rates workers by speed; None where speed makes no difference."""
-        chance = self._images.late_chance(step, now_ms)
-        if chance is None:
+        lateness = self._durations.lateness_probability(step, now_ms)
+        if lateness is None:
             return None
-        if self._speeds.is_uneven:
-            is_first = self._context.is_most_urgent(step.job)
-            return SpeedFit(chance=chance, is_first=is_first)
+        if self._speeds.is_heterogeneous:
+            is_most_urgent = self._context.is_most_urgent(step.job)
+            return SpeedScorer(lateness=lateness, is_most_urgent=is_most_urgent)
         queue_name = step.job.queue_name
-        self._risk.note(queue_name, chance.at(1.0))
+        self._risk.note(queue_name, lateness.for_slowness(1.0))
         is_wanted = self._risk.is_high(queue_name)
-        return UntriedFit(speeds=self._speeds) if is_wanted else None
+        return ExplorationScorer(speeds=self._speeds) if is_wanted else None
 
     def _place_suspected(self, step, tasks, permitted, now_ms):
         """Try tasks under which workers were lost; return each with its worker."""
-        ready = [task for task in tasks if self._trials.is_ready(task, now_ms)]
+        ready = [task for task in tasks if self._trials.can_start(task, now_ms)]
         if not ready:
             return []
         ranking = WorkerRanking(
             spec=step.spec,
             workers=self._trials.workers_for(step, ready, permitted, now_ms),
             hall="",
-            counts=step.per_worker() if step.spec.most_per_worker else None,
+            runs_per_worker=step.runs_per_worker()
+            if step.spec.most_per_worker
+            else None,
             rate=partial(self._trials.rate, step),
         )
         starts = self._start(ready, ranking)
         for task, worker in starts:
-            self._trials.begin(task, worker, now_ms)
+            self._trials.isolate(task, worker, now_ms)
         return starts
 
     def _start(self, tasks, ranking):
@@ -191,12 +198,12 @@
         starts = []
         for task in tasks:
             worker = ranking.best_for(task)
-            if worker is None and not task.avoided:
+            if worker is None and not task.avoided_workers:
                 break
             if worker is None:
                 continue
             self._intend(task, worker, task.run_count + 1)
-            ranking.on_given()
+            ranking.on_assigned()
             starts.append((task, worker))
         return starts
 
@@ -230,8 +237,8 @@
         for task, worker in starts:
             self._intend(task, worker, run_id, gang_slowness=gang_slowness)
             for suspect in suspected:
-                self._trials.begin(suspect, worker, now_ms)
-        self._notes.note_starts(step, starts, len(starts), now_ms)
+                self._trials.isolate(suspect, worker, now_ms)
+        self._notes.log_starts(step, starts, len(starts), now_ms)
 
     def _intend(self, task, worker, run_id, *, gang_slowness=0.0):
         run = Run(
@@ -244,19 +251,19 @@
         job = task.step.job
         task.run_count = run_id
         task.runs.append(run)
-        task.step.touch()
+        task.step.invalidate_waiting()
         worker.add(run)
         worker.health.started(run)
         if job.state is JobState.QUEUED:
             job.state = JobState.RUNNING
-        self._context.journal.change(job)
+        self._context.journal.mark_changed(job)
         self._context.journal.after(StartRun(run=run))
 
 
 def _takes_tasks(worker, now_ms):
     """Tell whether a worker may be given any task now."""
-    if not worker.is_known or not worker.is_listed or worker.entry.draining:
+    if not worker.has_reported or not worker.is_listed or worker.entry.draining:
         return False
-    if worker.entry.is_lapsed or worker.is_doubtful or worker.entry.cpu_milli <= 0:
+    if worker.entry.is_lapsed or worker.is_suspect or worker.entry.cpu_milli <= 0:
         return False
     return worker.slow_until_ms <= now_ms and worker.health.takes_work(now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/placing/preemptor.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/preemptor.py
@@ -2,7 +2,7 @@
 
 from operator import attrgetter
 
-from ..estimates.room import Room
+from ..estimates.free_capacity import FreeCapacity
 from ..state import RunState
 
 __all__ = ["Preemptor"]
@@ -28,10 +28,10 @@
     the small tasks there happen to end: others take each piece as it comes free.
     """
 
-    def __init__(self, *, context, lifecycle, images):
+    def __init__(self, *, context, lifecycle, durations):
         self._context = context
         self._lifecycle = lifecycle
-        self._images = images
+        self._durations = durations
 
     def make_room(self, step, workers, wanted, now_ms):
         """Stop runs so that tasks of a step find room soon; tell whether any was."""
@@ -39,7 +39,7 @@
             return False
         room_ms = now_ms + self._context.bounds.stop_timeout_ms / 2
         fastest = min(workers, key=attrgetter("slowness"), default=None)
-        if not self._images.ends_in_time(step, room_ms, fastest):
+        if not self._durations.ends_in_time(step, room_ms, fastest):
             return False
         step.preempt_not_before_ms = now_ms + self._context.bounds.stop_timeout_ms
         plans = []
@@ -49,7 +49,7 @@
                 # What was stopped before makes room here.
                 wanted -= _tasks_that_fit(step, worker, room)
                 continue
-            if not self._images.ends_in_time(step, room_ms, worker):
+            if not self._durations.ends_in_time(step, room_ms, worker):
                 continue
             victims = self._victims(step, worker, room, now_ms)
             if victims:
@@ -68,7 +68,7 @@
                 break
             if len(chosen) == MOST_VICTIMS:
                 return []
-            if room.gains_by(run.step, step.spec):
+            if room.gains_from(run.step, step.spec):
                 chosen.append(run)
                 room.release(run.step)
         return chosen if room.fits(step.spec) else []
@@ -76,7 +76,7 @@
     def _candidates(self, step, worker, now_ms):
         """Return the runs that may make way, the largest first."""
         priority = self._priority(step)
-        needs_ms = self._images.expected_ms(step.spec, worker)
+        needs_ms = self._durations.expected_ms(step.spec, worker)
         runs = [
             run
             for run in worker.runs.values()
@@ -92,7 +92,7 @@
 
     def _can_wait(self, run, needs_ms, now_ms):
         """Tell whether a run's job still meets its objective, or can't any more."""
-        left_ms = self._images.left_ms(run, now_ms)
+        left_ms = self._durations.left_ms(run, now_ms)
         if left_ms < self._context.bounds.stop_timeout_ms:
             return False  # its room comes back by itself as soon
         spare_ms = run.task.step.job.objective_ms - now_ms - left_ms
@@ -117,7 +117,7 @@
 
 def _room_to_come(worker):
     """Return what is free on a worker once the runs that are being stopped are gone."""
-    room = Room.of(worker)
+    room = FreeCapacity.of(worker)
     for run in worker.runs.values():
         if run.state is RunState.STOPPING:
             room.release(run.step)
@@ -126,11 +126,11 @@
 
 def _tasks_that_fit(step, worker, room):
     """Return how many more tasks of a step a worker may hold in some room."""
-    count = len(room.take_all(step.spec, 0.0))
+    count = len(room.allocate_all(step.spec, 0.0))
     most = step.spec.most_per_worker
     if not most:
         return count
-    held = step.per_worker().get(worker.worker_id, 0)
+    held = step.runs_per_worker().get(worker.worker_id, 0)
     return max(0, min(count, most - held))
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/placing/reservations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/reservations.py
@@ -47,11 +47,11 @@
     a worker may wait without end while most of the room is free.
     """
 
-    def __init__(self, *, context, images, forecast):
+    def __init__(self, *, context, durations, forecast):
         self._context = context
-        self._images = images
+        self._durations = durations
         self._forecast = forecast
-        self._kept = {}
+        self._by_step = {}
         self._by_worker = {}
         self._rank = {}
         self._paused_until_ms = {}
@@ -64,7 +64,7 @@
         if now_ms < self._review_due_ms and not self._has_served():
             return
         self._review_due_ms = now_ms + REVIEW_MS
-        was, self._kept, self._by_worker = self._kept, {}, {}
+        was, self._by_step, self._by_worker = self._by_step, {}, {}
         for step in steps:
             if self._waits_for_room(step, now_ms):
                 self._keep(step, workers_of(step), was.get(step), now_ms)
@@ -78,7 +78,7 @@
             return True
         if step.spec.long_running:
             return False
-        expected_ms = self._images.expected_ms(step.spec, worker)
+        expected_ms = self._durations.expected_ms(step.spec, worker)
         ends_ms = now_ms + expected_ms + BACKFILL_MARGIN_MS
         return ends_ms < kept.free_at_ms[worker.worker_id]
 
@@ -88,16 +88,16 @@
 
     def _has_served(self):
         """Tell whether a step that workers were kept for has started or ended."""
-        return any(not step.job.is_live or not step.waiting for step in self._kept)
+        return any(not step.job.is_live or not step.waiting for step in self._by_step)
 
     def _give_up_overdue(self, now_ms):
         """Give the workers back where room was not what a step lacked."""
-        for step, kept in list(self._kept.items()):
+        for step, kept in list(self._by_step.items()):
             if now_ms < kept.promised_ms + OVERDUE_MS:
                 continue
             self._context.count("reservations", "given_up")
             self._context.note("reservation_ends", step=step.name)
-            del self._kept[step]
+            del self._by_step[step]
             self._paused_until_ms[step.name] = now_ms + PAUSE_MS
             self._review_due_ms = now_ms
         self._paused_until_ms = {
@@ -119,7 +119,7 @@
         if step.spec.long_running or waited_ms <= LARGE_PATIENCE_MS:
             return False
         # Room kept idle for jobs that are late only makes others late.
-        return self._images.ends_in_time(step, now_ms)
+        return self._durations.ends_in_time(step, now_ms)
 
     def _keep(self, step, workers, was, now_ms):
         """Keep the workers on which the step's tasks would fit soonest."""
@@ -134,7 +134,7 @@
             waiting=len(step.waiting),
             promised_ms=was.promised_ms if is_under_way else next_ms,
         )
-        self._kept[step] = kept
+        self._by_step[step] = kept
         self._by_worker |= dict.fromkeys(times, kept)
         if was is None:
             self._note(kept, next_ms, now_ms)
@@ -145,11 +145,11 @@
         Of a gang's, when all are.
         """
         free_at = []
-        usual_ms = self._images.expected_ms(step.spec)
+        usual_ms = self._durations.expected_ms(step.spec)
         for worker in workers:
             if self._may_be_kept(step, worker):
                 longer_ms = usual_ms * (worker.slowness - 1.0)
-                times = self._forecast.room_times(worker, step.spec, now_ms)
+                times = self._forecast.fit_times(worker, step.spec, now_ms)
                 free_at += [
                     (at_ms + longer_ms, at_ms, worker.worker_id) for at_ms in times
                 ]
--- a/packages/thymefork-cells/src/thymefork_cells/placing/speed_fit.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/speed_scorer.py
@@ -2,7 +2,7 @@
 
 from math import log
 
-__all__ = ["SPEED_SPAN", "SpeedFit"]
+__all__ = ["SPEED_SCORE_RANGE", "SpeedScorer"]
 
 # What a task that is certainly late costs, in points of a worker's score. A chance of
 # one in 25 weighs as much as a step's other hall, which weighs more than all room does.
@@ -12,27 +12,29 @@
 FAST_PENALTY = 1.9
 # Nobody is more urgent than the first queue: it leaves fast workers only if it is all
 # but certainly in time on others.
-FAST_PENALTY_OF_FIRST = 0.2
+FAST_PENALTY_MOST_URGENT = 0.2
 # Speeds beyond this factor from the average are no more worth keeping, or leaving.
 MOST_FACTOR = 1.5
 # Ratings of two workers differ by this much at most.
-SPEED_SPAN = LATE_PENALTY + 2.0 * FAST_PENALTY * log(MOST_FACTOR)
+SPEED_SCORE_RANGE = LATE_PENALTY + 2.0 * FAST_PENALTY * log(MOST_FACTOR)
 # Data on another rack makes a task take so many times as long.
 REMOTE_FACTOR = 1.5
 
 
-class SpeedFit:
+class SpeedScorer:
     """Rate workers for a step by the chance of being late, and by what is kept free.
 
     A task that only fast workers end in time goes there first. One that is in time, or
     late, on all of them takes slow ones, which leaves the fast ones to others;
-    `is_first` tells that no queue is more urgent. One that is far slower than sound
+    `is_most_urgent` tells that no queue is more urgent. One that is far slower than sound
     ones is rated worse than any of them.
     """
 
-    def __init__(self, *, chance, is_first):
-        self._chance = chance
-        self._fast_penalty = FAST_PENALTY_OF_FIRST if is_first else FAST_PENALTY
+    def __init__(self, *, lateness, is_most_urgent):
+        self._chance = lateness
+        self._fast_penalty = (
+            FAST_PENALTY_MOST_URGENT if is_most_urgent else FAST_PENALTY
+        )
         self._points = {}
 
     def rate(self, worker, *, is_remote=False):
@@ -45,9 +47,9 @@
 
     def _rate(self, worker, is_remote):
         if worker.is_far_slower:
-            return SPEED_SPAN
+            return SPEED_SCORE_RANGE
         factor = REMOTE_FACTOR if is_remote else 1.0
-        late_points = LATE_PENALTY * self._chance.at(worker.slowness * factor)
+        late_points = LATE_PENALTY * self._chance.for_slowness(worker.slowness * factor)
         bounded = min(MOST_FACTOR, max(1.0 / MOST_FACTOR, worker.slowness))
         return late_points - self._fast_penalty * log(bounded)
 
@@ -58,7 +60,7 @@
     def metric_labels(self, workers):
         """Return what a start means to fast room, by the slowness of its worker."""
         slownesses = {worker.slowness for worker in workers}
-        suitable = self._chance.suitable_of(slownesses)
+        suitable = self._chance.suitable_slownesses(slownesses)
         if suitable == slownesses:
             return {slowness: f"slack_on_{_pace(slowness)}" for slowness in slownesses}
         return {
--- a/packages/thymefork-cells/src/thymefork_cells/placing/step_order.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
@@ -20,13 +20,13 @@
     """
 
     _context = field()
-    _images = field()
-    _used_shares = field()
+    _durations = field()
+    _dominant_shares = field()
 
     def steps(self, now_ms):
         """Return the steps whose turn has come or is still to come, the first first."""
         jobs = self._context.live_jobs.values()
-        self._used_shares.review(jobs, now_ms)
+        self._dominant_shares.review(jobs, now_ms)
         ranked = []
         for job in jobs:
             queue = self._context.queue(job)
@@ -44,27 +44,27 @@
 
     def _by_use(self, steps, now_ms):
         """Return the steps with what is beyond the shares by what accounts use."""
-        if not self._used_shares.follows_any:
+        if not self._dominant_shares.tracks_any:
             return steps
         wanting = {step.job.account_name for step in steps if step.ready}
-        self._used_shares.note_wanting(wanting, now_ms)
+        self._dominant_shares.record_waiting(wanting, now_ms)
         within = [step for step in steps if not step.job.is_beyond_share]
         beyond = steps[len(within) :]
         if beyond:
-            beyond = self._used_shares.in_turns(beyond)
-        return self._standing_first(within + beyond, now_ms)
+            beyond = self._dominant_shares.fair_order(beyond)
+        return self._starved_first(within + beyond, now_ms)
 
-    def stands_still(self, step, now_ms):
+    def is_starved(self, step, now_ms):
         """Tell whether a step's account has wanted room for long and held none."""
-        return self._used_shares.stands_still(step.job.account_name, now_ms)
+        return self._dominant_shares.is_starved(step.job.account_name, now_ms)
 
-    def _standing_first(self, steps, now_ms):
+    def _starved_first(self, steps, now_ms):
         """Put the first step of each account that stands still before all others."""
         standing = {}
         for step in steps:
             name = step.job.account_name
             if step.ready and name not in standing:
-                if self.stands_still(step, now_ms):
+                if self.is_starved(step, now_ms):
                     standing[name] = step
         if not standing:
             return steps
@@ -75,7 +75,7 @@
         """Note from when on a step's tasks may be started."""
         if not step.ready:
             early_ms = self._context.bounds.early_ms / 2
-            step.ready = step.job.is_turn(step, now_ms, early_ms)
+            step.ready = step.job.is_step_due(step, now_ms, early_ms)
             step.ready_ms = now_ms
 
     def startable(self, step, now_ms):
@@ -93,4 +93,4 @@
         """Tell whether a copy of a run would end sooner than the run itself."""
         if run.worker.is_silent(now_ms):
             return True
-        return self._images.late_ms(run, now_ms) > 0
+        return self._durations.late_ms(run, now_ms) > 0
--- a/packages/thymefork-cells/src/thymefork_cells/placing/tests/test_speed_fit.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_scorer.py
@@ -6,9 +6,9 @@
 import pytest
 
 from thymefork_cells.advice import choose_workers
-from thymefork_cells.estimates import LateChance
-from thymefork_cells.placing import SpeedFit
-from thymefork_cells.placing.worker_choice import OTHER_HALL_PENALTY
+from thymefork_cells.estimates import LatenessProbability
+from thymefork_cells.placement import SpeedScorer
+from thymefork_cells.placement.worker_ranking import OTHER_HALL_PENALTY
 from thymefork_cells.specs import StepSpec, WorkerEntry
 from thymefork_cells.state import Worker
 
@@ -30,21 +30,25 @@
     return Worker(entry=entry, slowness=slowness)
 
 
-def fit(left_ms, *, is_first=True):
-    chance = LateChance(usual_ms=USUAL_MS, left_ms=left_ms)
-    return SpeedFit(chance=chance, is_first=is_first)
+def fit(left_ms, *, is_most_urgent=True):
+    lateness = LatenessProbability(usual_ms=USUAL_MS, left_ms=left_ms)
+    return SpeedScorer(lateness=lateness, is_most_urgent=is_most_urgent)
 
 
-@pytest.mark.parametrize("is_first", [True, False])
-def test_what_only_a_fast_worker_ends_in_time_goes_there_whatever_its_hall(is_first):
-    rate = fit(1_400.0, is_first=is_first).rate
+@pytest.mark.parametrize("is_most_urgent", [True, False])
+def test_what_only_a_fast_worker_ends_in_time_goes_there_whatever_its_hall(
+    is_most_urgent,
+):
+    rate = fit(1_400.0, is_most_urgent=is_most_urgent).rate
     assert rate(worker(0, SLOW)) > rate(worker(1, FAST)) + OTHER_HALL_PENALTY
 
 
 @pytest.mark.parametrize("left_ms", [10_000.0, -1.0])
-@pytest.mark.parametrize("is_first", [True, False])
-def test_what_is_in_time_or_late_everywhere_leaves_fast_workers(left_ms, is_first):
-    rate = fit(left_ms, is_first=is_first).rate
+@pytest.mark.parametrize("is_most_urgent", [True, False])
+def test_what_is_in_time_or_late_everywhere_leaves_fast_workers(
+    left_ms, is_most_urgent
+):
+    rate = fit(left_ms, is_most_urgent=is_most_urgent).rate
     assert rate(worker(0, SLOW)) < rate(worker(1, FAST))
 
 
@@ -70,10 +74,10 @@
         workers,
         [],
         2,
-        share=0.7,
+        approval_rate=0.7,
         waited_ms=0.0,
-        most=100,
-        chance=LateChance(usual_ms=USUAL_MS, left_ms=left_ms),
+        max_workers=100,
+        lateness=LatenessProbability(usual_ms=USUAL_MS, left_ms=left_ms),
     )
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/placing/tests/test_worker_choice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_worker_ranking.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from thymefork_cells.placing.worker_choice import (
+from thymefork_cells.placement.worker_ranking import (
     OTHER_HALL_PENALTY,
     WorkerRanking,
     fit_score,
@@ -16,17 +16,22 @@
 HALLS = ("a", "b", "c")
 
 
-def best_by_scan(spec, task, workers, counts, hall):
+def best_by_scan(spec, task, workers, runs_per_worker, hall):
     """Return the best worker by rating all of them: the reference."""
     best, best_score = None, None
     for worker in workers:
-        if not worker.has_room(spec) or worker.health.awaits_probe:
+        if not worker.has_capacity(spec) or worker.health.awaits_probe:
             continue
-        if worker.worker_id in task.avoided and len(workers) > len(task.avoided):
+        if worker.worker_id in task.avoided_workers and len(workers) > len(
+            task.avoided_workers
+        ):
             continue
         if any(run.worker is worker for run in task.runs):
             continue
-        if counts and counts.get(worker.worker_id, 0) >= spec.most_per_worker:
+        if (
+            runs_per_worker
+            and runs_per_worker.get(worker.worker_id, 0) >= spec.most_per_worker
+        ):
             continue
         score = fit_score(spec, worker)
         if worker.entry.hall != hall:
@@ -83,7 +88,7 @@
     tasks = job.steps[0].tasks
     for task in tasks:
         if rng.random() < 0.2:
-            task.avoided.add(rng.choice(workers).worker_id)
+            task.avoided_workers.add(rng.choice(workers).worker_id)
         if rng.random() < 0.2:
             give(task, rng.choice(workers))
     return tasks
@@ -102,20 +107,22 @@
     rng = random.Random(seed)
     workers, spec, hall = make_workers(rng), make_spec(rng), rng.choice(HALLS)
     tasks = make_tasks(rng, spec, workers)
-    counts = tasks[0].step.per_worker() if spec.most_per_worker else None
+    runs_per_worker = tasks[0].step.runs_per_worker() if spec.most_per_worker else None
     ranking = WorkerRanking(
         rate=partial(fit_score, spec),
         spec=spec,
         workers=workers,
         hall=hall,
-        counts=dict(counts) if counts is not None else None,
+        runs_per_worker=dict(runs_per_worker) if runs_per_worker is not None else None,
     )
     for task in tasks:
-        expected = best_by_scan(spec, task, workers, counts, hall)
+        expected = best_by_scan(spec, task, workers, runs_per_worker, hall)
         assert ranking.best_for(task) is expected
         if expected is None:
             continue
         give(task, expected)
-        ranking.on_given()
-        if counts is not None:
-            counts[expected.worker_id] = counts.get(expected.worker_id, 0) + 1
+        ranking.on_assigned()
+        if runs_per_worker is not None:
+            runs_per_worker[expected.worker_id] = (
+                runs_per_worker.get(expected.worker_id, 0) + 1
+            )
--- a/packages/thymefork-cells/src/thymefork_cells/placing/worker_choice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/worker_ranking.py
@@ -3,9 +3,15 @@
 import heapq
 
 from ..state.worker_health import FAILURES_TO_QUARANTINE
-from .speed_fit import SPEED_SPAN
+from .speed_scorer import SPEED_SCORE_RANGE
 
-__all__ = ["WorkerRanking", "best_hall", "copies_in", "fit_score", "fits_labels"]
+__all__ = [
+    "WorkerRanking",
+    "best_hall",
+    "fit_score",
+    "has_required_label",
+    "task_capacity",
+]
 
 # The order of importance where workers are uneven: what disturbs tasks with users of
 # their own, and a worker that is likely bad; then the chance of being late (speed_fit),
@@ -18,7 +24,7 @@
 DISTURBANCE_PENALTY = 4.0
 # A worker whose last run failed, or that is far slower than any sound one, is taken
 # only if no other has room.
-DOUBT_PENALTY = 2.0
+UNRELIABLE_PENALTY = 2.0
 # A step's tasks keep together in one hall where it has room for them: a hall is cut off
 # as a whole, and a step is late if one of its tasks is. Counts more than any difference
 # in room, less than doubt.
@@ -37,7 +43,7 @@
     copies = {}
     for worker in workers:
         hall = worker.entry.hall
-        copies[hall] = copies.get(hall, 0) + copies_in(worker, spec)
+        copies[hall] = copies.get(hall, 0) + task_capacity(worker, spec)
     return max(
         copies,
         key=lambda hall: (min(copies[hall], wanted), sign * copies[hall]),
@@ -49,31 +55,33 @@
     """Rank workers for the tasks of one step, the best one first.
 
     A worker that a task avoids is taken for want of others only, here or, as
-    `may_find_others` tells, among those that the policy was not asked about yet.
+    `has_unasked_workers` tells, among those that the policy was not asked about yet.
     `rate` gives a worker's score but for its hall; the lowest is best.
     Each worker is rated once, and once more after it was given a task: a wide step
     costs one pass over the workers, not one for each task.
     """
 
-    def __init__(self, *, spec, workers, hall, counts, rate, may_find_others=False):
+    def __init__(
+        self, *, spec, workers, hall, runs_per_worker, rate, has_unasked_workers=False
+    ):
         self._spec = spec
         self._rate_alone = rate
-        self._may_find_others = may_find_others
+        self._may_find_others = has_unasked_workers
         self._hall = hall
-        self._counts = counts
+        self._counts = runs_per_worker
         self._size = len(workers)
         self._given = None
         self._rows = [
             (self._rate(worker), position, worker)
             for position, worker in enumerate(workers)
-            if worker.has_room(spec)
+            if worker.has_capacity(spec)
         ]
         heapq.heapify(self._rows)
 
     def best_for(self, task):
         """Return the best worker for a task, or None if none has room for it.
 
-        `on_given` takes the worker back into the ranking.
+        `on_assigned` takes the worker back into the ranking.
         """
         passed_over, found = [], None
         while self._rows and found is None:
@@ -89,13 +97,13 @@
         self._given = found
         return found[2] if found is not None else None
 
-    def on_given(self):
+    def on_assigned(self):
         """Rate the worker anew that was returned last, which has the task now."""
         _, position, worker = self._given
         if self._counts is not None:
             count = self._counts.get(worker.worker_id, 0)
             self._counts[worker.worker_id] = count + 1
-        if worker.has_room(self._spec):
+        if worker.has_capacity(self._spec):
             heapq.heappush(self._rows, (self._rate(worker), position, worker))
 
     def _rate(self, worker):
@@ -103,26 +111,26 @@
         return score if worker.entry.hall == self._hall else score + OTHER_HALL_PENALTY
 
     def _takes_step(self, worker):
-        if not worker.has_room(self._spec) or worker.health.awaits_probe:
+        if not worker.has_capacity(self._spec) or worker.health.awaits_probe:
             return False
         if not self._counts:
             return True
         return self._counts.get(worker.worker_id, 0) < self._spec.most_per_worker
 
     def _takes_task(self, worker, task):
-        others = self._may_find_others or self._size > len(task.avoided)
-        if worker.worker_id in task.avoided and others:
+        others = self._may_find_others or self._size > len(task.avoided_workers)
+        if worker.worker_id in task.avoided_workers and others:
             return False
         return not any(run.worker is worker for run in task.runs)
 
 
-def fits_labels(step, worker):
+def has_required_label(step, worker):
     """Tell whether a worker has the label that a step requires."""
     label = step.spec.required_label
     return not label or label in worker.entry.labels
 
 
-def copies_in(worker, spec):
+def task_capacity(worker, spec):
     """Return how many tasks of a step a worker has room for."""
     wanted = (
         (spec.reserved_cpu_milli, worker.free_cpu_milli),
@@ -136,10 +144,10 @@
     return min(copies, spec.count)
 
 
-def fit_score(spec, worker, speed_fit=None):
+def fit_score(spec, worker, speed_scorer=None):
     """Rate a worker for a task; the lowest is best: the tightest fit that is sound.
 
-    `speed_fit` rates it by its speed besides, where workers are uneven.
+    `speed_scorer` rates it by its speed besides, where workers are uneven.
     """
     entry = worker.entry
     left_cpu = (worker.free_cpu_milli - spec.reserved_cpu_milli) / entry.cpu_milli
@@ -148,14 +156,14 @@
     is_remote = bool(spec.preferred_rack) and spec.preferred_rack != entry.rack
     # Few steps can disturb others at all, and each worker is rated for each step.
     disturbs = (spec.fills_idle_cpu or spec.target_tail_ms) and _disturbs(spec, worker)
-    if speed_fit is not None:
-        points += speed_fit.rate(worker, is_remote=is_remote)
-        points += SPEED_SPAN * (_is_likely_bad(worker) + bool(disturbs))
+    if speed_scorer is not None:
+        points += speed_scorer.rate(worker, is_remote=is_remote)
+        points += SPEED_SCORE_RANGE * (_is_likely_bad(worker) + bool(disturbs))
     if spec.accelerators and entry.accelerators:
         # Tasks that want all of a worker's need one that no single task has broken.
         points += (worker.free_accelerators - spec.accelerators) / entry.accelerators
-    if worker.is_last_choice:
-        points += DOUBT_PENALTY
+    if worker.is_least_preferred:
+        points += UNRELIABLE_PENALTY
     if is_remote:
         points += REMOTE_PENALTY
     if spec.fills_idle_cpu:
--- a/packages/thymefork-cells/src/thymefork_cells/specs/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/__init__.py
@@ -1,6 +1,6 @@
 """What callers, operators and workers say of jobs, queues and workers."""
 
-from .account_policy import AccountPolicy, RoomLimit
+from .account_policy import AccountPolicy, ResourceLimit
 from .bounds import Bounds
 from .configuration import Configuration, key_digest
 from .job_spec import JobSpec
@@ -11,15 +11,15 @@
 from .worker_entry import WorkerEntry
 
 __all__ = [
+    "PARTS_PER_CELL",
     "AccountPolicy",
     "AdvicePolicy",
     "Bounds",
     "Configuration",
     "JobSpec",
     "LimitParts",
-    "PARTS_PER_CELL",
     "QueuePolicy",
-    "RoomLimit",
+    "ResourceLimit",
     "ServicePolicy",
     "StepSpec",
     "WorkerEntry",
--- a/packages/thymefork-cells/src/thymefork_cells/specs/account_policy.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/account_policy.py
@@ -2,11 +2,11 @@
 
 from attrs import frozen
 
-__all__ = ["AccountPolicy", "RoomLimit"]
+__all__ = ["AccountPolicy", "ResourceLimit"]
 
 
 @frozen(kw_only=True)
-class RoomLimit:
+class ResourceLimit:
     """Bound what may run at once; 0 sets no bound, -1 allows nothing.
 
     Units: thousandths of a core, megabytes, accelerators.
@@ -18,7 +18,7 @@
 
     def part(self, parts, whole):
         """Return what parts of the whole limit allow; a bound never becomes none."""
-        return RoomLimit(
+        return ResourceLimit(
             cpu_milli=_part(self.cpu_milli, parts.cpu, whole),
             memory_mb=_part(self.memory_mb, parts.memory, whole),
             accelerators=_part(self.accelerators, parts.accelerators, whole),
@@ -40,4 +40,4 @@
     name: str
     key_digests: frozenset[bytes] = frozenset()
     weight: float = 0.0
-    limit: RoomLimit = RoomLimit()
+    limit: ResourceLimit = ResourceLimit()
--- a/packages/thymefork-cells/src/thymefork_cells/specs/bounds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/bounds.py
@@ -16,6 +16,6 @@
 
     stop_timeout_ms: float = 200.0
     early_ms: float = 250.0
-    status_kept_ms: float = 120_000.0
+    status_retention_ms: float = 120_000.0
     max_hold_ms: float = 10_000.0
     gang_wait_ms: float = 3_000.0
--- a/packages/thymefork-cells/src/thymefork_cells/specs/configuration.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/configuration.py
@@ -65,7 +65,7 @@
             for digest in account.key_digests
         }
 
-    def wants_key(self, queue):
+    def requires_key(self, queue):
         """Tell whether callers of a queue have to show an account's key."""
         return self.accounts is not None and not queue.is_public
 
--- a/packages/thymefork-cells/src/thymefork_cells/specs/limit_parts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/limit_parts.py
@@ -33,7 +33,7 @@
         return cls(cpu=cpu, memory=memory, accelerators=accelerators)
 
     @classmethod
-    def of_room(cls, room, limit, whole):
+    def from_resources(cls, room, limit, whole):
         """Return the parts that room takes, rounded up; none where there's no bound."""
         return cls(
             cpu=_parts(room.cpu_milli, limit.cpu_milli, whole),
@@ -52,15 +52,15 @@
     def __add__(self, other):
         return self._with(other, lambda own, others: own + others)
 
-    def less(self, other):
+    def minus(self, other):
         """Return what is left without others, none at least."""
         return self._with(other, lambda own, others: max(0, own - others))
 
-    def at_most(self, other):
+    def elementwise_min(self, other):
         """Return the lesser of each kind."""
         return self._with(other, min)
 
-    def at_least(self, other):
+    def elementwise_max(self, other):
         """Return the greater of each kind."""
         return self._with(other, max)
 
--- a/packages/thymefork-cells/src/thymefork_cells/specs/service_policy.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/service_policy.py
@@ -10,5 +10,5 @@
     """Hold what the operators' configuration says of one service."""
 
     name: str
-    most_connections: int = 64
+    max_connections: int = 64
     headroom: bool = False
--- a/packages/thymefork-cells/src/thymefork_cells/specs/worker_entry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/specs/worker_entry.py
@@ -33,6 +33,6 @@
     is_lapsed: bool = False
 
     @property
-    def life(self):
+    def incarnation(self):
         """Return what tells this life from all others."""
         return (self.worker_id, self.born_epoch_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/state/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/__init__.py
@@ -2,30 +2,30 @@
 
 from .account_usage import AccountUsage
 from .advice_slots import LONG_CALL_MS, AdviceSlots
+from .isolation import Isolation
 from .job import Job, JobState
-from .loss import SOON_MS, Loss, are_alike
 from .run import Run, RunState
 from .step_state import StepState, Ticket
 from .task import Task
-from .trial import Trial
 from .worker import Worker
 from .worker_health import WorkerHealth
+from .worker_loss import EARLY_LOSS_MS, WorkerLoss, have_similar_timing
 
 __all__ = [
+    "EARLY_LOSS_MS",
+    "LONG_CALL_MS",
     "AccountUsage",
     "AdviceSlots",
+    "Isolation",
     "Job",
     "JobState",
-    "LONG_CALL_MS",
-    "Loss",
     "Run",
     "RunState",
-    "SOON_MS",
     "StepState",
     "Task",
     "Ticket",
-    "Trial",
     "Worker",
     "WorkerHealth",
-    "are_alike",
+    "WorkerLoss",
+    "have_similar_timing",
 ]
--- a/packages/thymefork-cells/src/thymefork_cells/state/account_usage.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/account_usage.py
@@ -29,7 +29,7 @@
         self.memory_mb -= step.memory_mb
         self.accelerators -= step.accelerators
 
-    def tasks_left(self, step, limit):
+    def tasks_allowed(self, step, limit):
         """Return how many more tasks of a step a limit allows; all of them at most."""
         wants = (
             (step.reserved_cpu_milli, self.cpu_milli, limit.cpu_milli),
--- a/packages/thymefork-cells/src/thymefork_cells/state/advice_slots.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/advice_slots.py
@@ -19,7 +19,7 @@
     any_call: int
     long_call: int
 
-    def has_room(self, cost_ms):
+    def has_capacity(self, cost_ms):
         """Tell whether an instance is free for a call that costs so much."""
         if self.any_call <= 0:
             return False
@@ -27,7 +27,7 @@
 
     def take(self, cost_ms):
         """Take an instance for a call; tell whether there was one."""
-        if not self.has_room(cost_ms):
+        if not self.has_capacity(cost_ms):
             return False
         is_long = cost_ms > LONG_CALL_MS
         self.any_call -= 1
--- a/packages/thymefork-cells/src/thymefork_cells/state/trial.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/isolation.py
@@ -2,11 +2,11 @@
 
 from attrs import frozen
 
-__all__ = ["Trial"]
+__all__ = ["Isolation"]
 
 
 @frozen(kw_only=True)
-class Trial:
+class Isolation:
     """Hold the job whose tasks alone a worker takes, and until when at the latest.
 
     Units: `until_ms` on the steady clock.
--- a/packages/thymefork-cells/src/thymefork_cells/state/job.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/job.py
@@ -30,7 +30,7 @@
 class Job:
     """Follow a job.
 
-    `state` is what was decided, `shown_state` what is stored and so may be told.
+    `state` is what was decided, `visible_state` what is stored and so may be told.
     `usage` is what all jobs of its client account hold; `is_beyond_share` tells that
     the account had sent more than its share when the job came; `has_run` that a worker
     has told of a run of it.
@@ -48,7 +48,7 @@
     first_start_ms: float = 0.0
     objective_ms: float = 0.0
     state: JobState = JobState.QUEUED
-    shown_state: JobState | None = None
+    visible_state: JobState | None = None
     ended_ms: float = 0.0
     reason: str = ""
     steps: list = field(factory=list)
@@ -76,7 +76,7 @@
         """Return the steady moment at which an occurrence may start."""
         return self.first_start_ms + occurrence * self.spec.interval_ms
 
-    def is_turn(self, step, now_ms, early_ms=0.0):
+    def is_step_due(self, step, now_ms, early_ms=0.0):
         """Tell whether a step's tasks may be started now."""
         if now_ms + early_ms < self.due_ms(step.occurrence):
             return False
@@ -126,12 +126,12 @@
         return max(lengths, default=0)
 
     @property
-    def has_begun(self):
+    def has_started(self):
         """Tell whether a start of any task was ever decided."""
         return any(task.run_count for step in self.steps for task in step.tasks)
 
     @property
-    def is_lasting(self):
+    def is_long_running(self):
         """Tell whether the job runs until it is cancelled."""
         return any(step.spec.long_running for step in self.steps)
 
@@ -149,5 +149,5 @@
         Task(step=step, index=number, name=f"{prefix}.{number}")
         for number in range(step_spec.count)
     ]
-    step.left = step_spec.count
+    step.tasks_remaining = step_spec.count
     return step
--- a/packages/thymefork-cells/src/thymefork_cells/state/step_state.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/step_state.py
@@ -25,10 +25,10 @@
     index: int
     spec: object
     tasks: list = field(factory=list)
-    left: int = 0
+    tasks_remaining: int = 0
     ready: bool = False
     ready_ms: float = 0.0
-    wait_noted_ms: float = 0.0
+    wait_logged_ms: float = 0.0
     preempt_not_before_ms: float = 0.0
     gang_failures: int = 0
     gang_failed_run: int = 0
@@ -36,7 +36,7 @@
     allowed: set | None = None
     denied: set = field(factory=set)
     denied_ms: float = 0.0
-    asked_anew: int = 0
+    repeated_requests: int = 0
     _waiting: list | None = None
     advice_asked: bool = False
     advice_wanted_ms: float = 0.0
@@ -51,7 +51,7 @@
     @property
     def is_done(self):
         """Tell whether every task has ended well."""
-        return self.left == 0
+        return self.tasks_remaining == 0
 
     @property
     def waiting(self):
@@ -64,10 +64,10 @@
         """Return for how long a task has waited since its turn or its last run."""
         if not self.ready:
             return 0.0
-        since_ms = [max(self.ready_ms, task.lost_ms) for task in self.waiting]
+        since_ms = [max(self.ready_ms, task.last_lost_ms) for task in self.waiting]
         return now_ms - min(since_ms, default=now_ms)
 
-    def touch(self):
+    def invalidate_waiting(self):
         """Note that a task was started, lost a run or ended."""
         self._waiting = None
 
@@ -75,7 +75,7 @@
         """Return the runs that a run number has now, over all tasks."""
         return [run for task in self.tasks for run in task.runs if run.run_id == run_id]
 
-    def is_whole(self, run_id):
+    def is_gang_complete(self, run_id):
         """Tell whether all members of a gang were seen on their workers.
 
         Their work begins once all are present, so progress of one tells the same.
@@ -85,7 +85,7 @@
             return True
         return len(members) == len(self.tasks) and all(run.is_live for run in members)
 
-    def per_worker(self):
+    def runs_per_worker(self):
         """Return how many runs of the step each worker holds, by worker id."""
         counts = {}
         for task in self.tasks:
--- a/packages/thymefork-cells/src/thymefork_cells/state/task.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/task.py
@@ -2,14 +2,14 @@
 
 from attrs import define, field
 
-from .loss import are_alike
+from .worker_loss import have_similar_timing
 
 __all__ = ["Task"]
 
 # More copies than this of one task would waste more than they save.
-MOST_COPIES = 3
+MAX_COPIES = 3
 # A task gets no copy once this many workers seem to be lost under it.
-MOST_SUSPICION = 2
+MAX_SUSPECTED_CRASHES = 2
 
 
 @define(kw_only=True, eq=False)
@@ -18,7 +18,7 @@
 
     `run_count` is the highest run number used; run numbers only rise. `worked_ms` is
     how long the run that ended well would have taken on an ordinary worker, 0 if
-    another owner saw its start. `given_up`
+    another owner saw its start. `expired_runs`
     holds the runs whose leases were thought over before their end was heard; `losses`
     holds the workers that were lost under it, by their lives.
     """
@@ -32,10 +32,10 @@
     done: bool = False
     worked_ms: float = 0.0
     runs: list = field(factory=list)
-    standstills: int = 0
-    given_up: set = field(factory=set)
-    avoided: set = field(factory=set)
-    lost_ms: float = 0.0
+    stalls: int = 0
+    expired_runs: set = field(factory=set)
+    avoided_workers: set = field(factory=set)
+    last_lost_ms: float = 0.0
     losses: dict = field(factory=dict)
 
     @property
@@ -43,7 +43,7 @@
         """Tell whether the task has to be started and nothing of it may run."""
         return not self.done and not self.runs
 
-    def suspicion(self, now_ms):
+    def suspected_crashes(self, now_ms):
         """Return how many workers it may have crashed, one that is silent included.
 
         That a silent one was crashed is known only once its machine is back, or its
@@ -57,8 +57,8 @@
     def may_crash_workers(self):
         """Tell whether its losses, if any, speak for its doing."""
         if len(self.losses) == 1:
-            return any(loss.was_soon for loss in self.losses.values())
-        return bool(self.losses) and are_alike(self.losses.values())
+            return any(loss.was_early for loss in self.losses.values())
+        return bool(self.losses) and have_similar_timing(self.losses.values())
 
     def wants_copy(self, is_behind, now_ms):
         """Tell whether a further run may, and should, go beside those that exist.
@@ -69,14 +69,17 @@
         """
         if self.done or not self.runs or not self.step.spec.speculative:
             return False
-        if len(self.runs) >= MOST_COPIES or self.suspicion(now_ms) >= MOST_SUSPICION:
+        if (
+            len(self.runs) >= MAX_COPIES
+            or self.suspected_crashes(now_ms) >= MAX_SUSPECTED_CRASHES
+        ):
             return False
-        return all(not run.may_serve or is_behind(run) for run in self.runs)
+        return all(not run.is_active or is_behind(run) for run in self.runs)
 
     @property
-    def serving_run(self):
+    def active_run(self):
         """Return a run that works towards the task's end, or None."""
         for run in self.runs:
-            if run.may_serve:
+            if run.is_active:
                 return run
         return None
--- a/packages/thymefork-cells/src/thymefork_cells/state/tests/test_losses_alike.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/tests/test_loss_timing.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from thymefork_cells.state import Loss, are_alike
+from thymefork_cells.state import WorkerLoss, have_similar_timing
 
 
 @pytest.mark.parametrize(
@@ -19,7 +19,7 @@
 )
 def test_losses_at_about_the_same_point_of_each_run_are_alike(ages_ms, alike):
     found = [
-        Loss(worker_id=f"w{number}", after_ms=age_ms, is_certain=True)
+        WorkerLoss(worker_id=f"w{number}", after_ms=age_ms, is_certain=True)
         for number, age_ms in enumerate(ages_ms)
     ]
-    assert are_alike(found) is alike
+    assert have_similar_timing(found) is alike
