--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -13,7 +13,7 @@
 SILENT_MS = 100.0
 # Sound workers of one service differ by two to three times; one that is this many times
 # slower than the average is sick, also if it is always so.
-FAR_SLOWER = 4.0
+FAR_SLOWER_FACTOR = 4.0
 
 
 @define(kw_only=True, eq=False)
@@ -22,18 +22,18 @@
 
     Units: `*_ms` on the steady clock; `clock_offset_ms` added to the steady clock
     gives the worker's clock. `may_run_until_ms` bounds what this owner has allowed
-    to run, `inherited_until_ms` what its predecessor had. `is_known` turns true once
+    to run, `inherited_until_ms` what its predecessor had. `has_reported` turns true once
     the worker has listed what runs on it under the present owner's fence; before that,
-    nothing is placed on it. `asked_ms` is when the latest answered look was sent: the
-    answer may be read much later, by a process that was paused. `missed_ms` is when the
+    nothing is placed on it. `answered_poll_ms` is when the latest answered look was sent: the
+    answer may be read much later, by a process that was paused. `unanswered_since_ms` is when the
     first of the last looks without an answer was given up, 0 if the last was answered;
-    `unlisted_ms` is when the platform's list had it no more, `runs_lost_ms` when its
-    leases were thought over, `leased_ms` when a lease was sent last;
-    `long_hold_until_ms` bounds what a lease for an earlier life may allow.
-    `overtaken_in_row` counts the listings since the last one that counted that were
+    `unlisted_since_ms` is when the platform's list had it no more, `leases_expired_ms` when its
+    leases were thought over, `lease_sent_ms` when a lease was sent last;
+    `extended_lease_until_ms` bounds what a lease for an earlier life may allow.
+    `outdated_reports_in_row` counts the listings since the last one that counted that were
     set aside as older.
     `born_epoch_ms` tells its lives apart, 0 while none was told of; `number` counts
-    those that its owner has followed before, `known_since_ms` is when it came to follow
+    those that its owner has followed before, `tracked_since_ms` is when it came to follow
     this one. `stopped` holds the runs whose stop was answered and whose end is still to
     be seen.
     """
@@ -41,15 +41,15 @@
     entry: object
     born_epoch_ms: int = 0
     number: int = 0
-    known_since_ms: float = 0.0
+    tracked_since_ms: float = 0.0
     is_over: bool = False
     held_cpu_milli: int = 0
     held_memory_mb: int = 0
     held_accelerators: int = 0
     runs: dict = field(factory=dict)
-    strays: set = field(factory=set)
+    orphaned_runs: set = field(factory=set)
     stopped: set = field(factory=set)
-    is_known: bool = False
+    has_reported: bool = False
     is_listed: bool = True
     leaves_at_ms: float = 0.0
     clock_offset_ms: float | None = None
@@ -57,42 +57,42 @@
     may_run_until_ms: float = 0.0
     inherited_until_ms: float = 0.0
     last_answer_ms: float = 0.0
-    asked_ms: float = 0.0
-    look_sent_ms: float = 0.0
-    quick_look_sent_ms: float = 0.0
+    answered_poll_ms: float = 0.0
+    poll_sent_ms: float = 0.0
+    quick_poll_sent_ms: float = 0.0
     stop_answered_ms: float = 0.0
-    misses_in_row: int = 0
-    missed_ms: float = 0.0
-    unlisted_ms: float = 0.0
-    runs_lost_ms: float = 0.0
-    leased_ms: float = 0.0
-    long_hold_until_ms: float = 0.0
-    doubted_ms: float = 0.0
+    unanswered_in_row: int = 0
+    unanswered_since_ms: float = 0.0
+    unlisted_since_ms: float = 0.0
+    leases_expired_ms: float = 0.0
+    lease_sent_ms: float = 0.0
+    extended_lease_until_ms: float = 0.0
+    suspected_ms: float = 0.0
     slow_until_ms: float = 0.0
-    look_due_ms: float = 0.0
-    looking: bool = False
-    looking_quickly: bool = False
+    poll_due_ms: float = 0.0
+    is_polling: bool = False
+    is_quick_polling: bool = False
     storing_ends: bool = False
     heard_end: int = 0
     stored_end: int = 0
-    told_end: int = 0
-    overtaken_in_row: int = 0
+    acknowledged_end: int = 0
+    outdated_reports_in_row: int = 0
     health: WorkerHealth = field(factory=lambda: WorkerHealth())
-    trial: object = None
+    isolation: object = None
     slowness: float = 1.0
 
     @property
     def is_far_slower(self):
         """Tell whether it is slower, for good, than sound workers differ by."""
-        return self.slowness > FAR_SLOWER
+        return self.slowness > FAR_SLOWER_FACTOR
 
     @property
-    def is_last_choice(self):
+    def is_least_preferred(self):
         """Tell whether it is to be given work only if no other has room."""
         return self.health.failures_in_row > 0 or self.is_far_slower
 
     @property
-    def sound_slowness(self):
+    def healthy_slowness(self):
         """Return how much longer than ordinary its runs take while it is sound.
 
         What is far slower for good is judged as an ordinary worker that is sick.
@@ -110,7 +110,7 @@
         return self.entry.worker_id
 
     @property
-    def life(self):
+    def incarnation(self):
         """Return what tells this life from all others."""
         return (self.worker_id, self.born_epoch_ms)
 
@@ -150,10 +150,10 @@
 
     def _end_trial(self, job):
         """End the trial of a job's tasks once none of them is left here."""
-        if self.trial is None or self.trial.job is not job:
+        if self.isolation is None or self.isolation.job is not job:
             return
         if all(run.task.step.job is not job for run in self.runs.values()):
-            self.trial = None
+            self.isolation = None
 
     def runs_of_others(self, job):
         """Return the runs here that are of other jobs."""
@@ -161,8 +161,8 @@
 
     def admits(self, job, now_ms):
         """Tell whether a job's tasks may start beside what is tried here."""
-        trial = self.trial
-        return trial is None or trial.job is job or now_ms >= trial.until_ms
+        isolation = self.isolation
+        return isolation is None or isolation.job is job or now_ms >= isolation.until_ms
 
     @property
     def free_cpu_milli(self):
@@ -180,12 +180,12 @@
         return self.entry.accelerators - self.held_accelerators
 
     @property
-    def is_overfull(self):
+    def is_overcommitted(self):
         """Tell whether its runs hold more than it has, since it has shrunk."""
         free = (self.free_cpu_milli, self.free_memory_mb, self.free_accelerators)
         return min(free) < 0
 
-    def has_room(self, step):
+    def has_capacity(self, step):
         """Tell whether one more task of the step fits."""
         return (
             step.reserved_cpu_milli <= self.free_cpu_milli
@@ -193,7 +193,7 @@
             and step.accelerators <= self.free_accelerators
         )
 
-    def could_hold(self, step):
+    def fits_when_empty(self, step):
         """Tell whether a task of the step fits into the empty worker."""
         return (
             step.reserved_cpu_milli <= self.entry.cpu_milli
@@ -212,7 +212,7 @@
             return True
         if self.entry.born_epoch_ms not in (0, self.born_epoch_ms):
             return False
-        return not self.is_listed and self.last_answer_ms > self.unlisted_ms
+        return not self.is_listed and self.last_answer_ms > self.unlisted_since_ms
 
     def heard_ms_ago(self, now_ms):
         """Return how long ago it last answered; None if it never did."""
@@ -225,13 +225,13 @@
         return now_ms + self.clock_offset_ms
 
     @property
-    def is_doubtful(self):
+    def is_suspect(self):
         """Tell whether it has not answered since it, or its hall, fell silent."""
-        return self.misses_in_row > 0 or self.last_answer_ms < self.doubted_ms
+        return self.unanswered_in_row > 0 or self.last_answer_ms < self.suspected_ms
 
     def is_silent(self, now_ms):
         """Tell whether it was asked because of a doubt and has not answered soon."""
-        if self.misses_in_row:
+        if self.unanswered_in_row:
             return True
-        in_doubt = self.last_answer_ms < self.doubted_ms
-        return in_doubt and now_ms - self.doubted_ms > SILENT_MS
+        in_doubt = self.last_answer_ms < self.suspected_ms
+        return in_doubt and now_ms - self.suspected_ms > SILENT_MS
--- a/packages/thymefork-cells/src/thymefork_cells/state/loss.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker_loss.py
@@ -2,11 +2,11 @@
 
 from attrs import frozen
 
-__all__ = ["Loss", "SOON_MS", "are_alike"]
+__all__ = ["EARLY_LOSS_MS", "WorkerLoss", "have_similar_timing"]
 
 # A run that lost its worker within this time of its start may well have crashed it: a
 # task that does mostly does it at once, and silence is noticed within 1.2 s.
-SOON_MS = 2_000.0
+EARLY_LOSS_MS = 2_000.0
 # Losses are alike if the longest run before one was at most so many times as long as
 # the shortest, since workers differ in speed, and by the time that silence takes to be
 # noticed.
@@ -15,7 +15,7 @@
 
 
 @frozen(kw_only=True)
-class Loss:
+class WorkerLoss:
     """Hold what is known of a worker that was lost while it may have run a task.
 
     `born_epoch_ms` tells which life of the worker was lost.
@@ -31,17 +31,17 @@
     born_epoch_ms: int = 0
 
     @property
-    def life(self):
+    def incarnation(self):
         """Return what tells the lost life from all others."""
         return (self.worker_id, self.born_epoch_ms)
 
     @property
-    def was_soon(self):
+    def was_early(self):
         """Tell whether it may have come right after the run's start."""
-        return self.after_ms is None or self.after_ms <= SOON_MS
+        return self.after_ms is None or self.after_ms <= EARLY_LOSS_MS
 
 
-def are_alike(losses):
+def have_similar_timing(losses):
     """Tell whether a task may have lost its workers by its own doing.
 
     A task that crashes its workers does so at about the same point of each run, while
--- a/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/cell_group.py
@@ -3,10 +3,10 @@
 import simpy
 from attrs import evolve
 
-from thymefork_cells.specs import AccountPolicy, RoomLimit
+from thymefork_cells.specs import AccountPolicy, ResourceLimit
 
 from .harness import Harness
-from .idle_owners import LINK_MS
+from .idle_cell_owners import LINK_MS
 
 __all__ = ["CellGroup"]
 
@@ -17,20 +17,20 @@
     `befalls(message)` tells after how many milliseconds each copy of a message comes,
     none for one that is lost. `is_cut(one, other)` tells whether two cells' owners hear
     each other. A limit that was replaced may be in force for `applied_ms` still.
-    `most_cpu_milli` is the most that the workers of all cells ran of the account at
-    once, and `breaches` the moments at which that was over every limit in force.
+    `max_cpu_milli` is the most that the workers of all cells ran of the account at
+    once, and `violations` the moments at which that was over every limit in force.
     """
 
     def __init__(self, *, cells, limit_cpu_milli, workers=4, cpu_milli=32_000):
         self.env = simpy.Environment()
-        self.befalls = lambda message: [LINK_MS]
-        self.is_cut = lambda one, other: False
+        self.delivery_delays = lambda message: [LINK_MS]
+        self.is_link_down = lambda one, other: False
         self._replaced = []
         self.applied_ms = 50.0
-        self.breaches = []
-        self.most_cpu_milli = 0
-        self.still = {}
-        self.longest_still_ms = 0.0
+        self.violations = []
+        self.max_cpu_milli = 0
+        self.stalled_since = {}
+        self.longest_stall_ms = 0.0
         self.messages = 0
         self.cells = [
             Harness(
@@ -59,7 +59,7 @@
     def set_limit(self, cpu_milli, cells=None):
         """Let some cells read a configuration with another limit, all if not said."""
         self._version += 1
-        limit = RoomLimit(cpu_milli=cpu_milli)
+        limit = ResourceLimit(cpu_milli=cpu_milli)
         accounts = (AccountPolicy(name="a", limit=limit),)
         for harness in self.cells if cells is None else cells:
             before = _limit_of(harness)
@@ -73,7 +73,7 @@
     def kill(self, cell, *, for_ms):
         """End the owner of a cell; another takes the cell over after a while."""
         harness = self.cells[cell]
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run_after(for_ms, harness.take_over)
 
     def cpu_running(self, cell=None):
@@ -91,13 +91,15 @@
     def send(self, message):
         """Carry a message, as often as it comes."""
         self.messages += 1
-        for after_ms in self.befalls(message):
+        for after_ms in self.delivery_delays(message):
             self.env.process(self._carry(message, after_ms))
 
     def _carry(self, message, after_ms):
         yield self.env.timeout(after_ms)
         harness = self.cells[message.to_cell]
-        if not harness.dead and not self.is_cut(message.borrower, message.lender):
+        if not harness.is_owner_down and not self.is_link_down(
+            message.borrower, message.lender
+        ):
             harness.cell.on_parts(message, now_ms=self.now)
 
     # The rules -----------------------------------------------------------------
@@ -108,9 +110,9 @@
         while True:
             running = self.cpu_running()
             if running > most_before and running > self._highest_limit():
-                self.breaches.append((self.now, running))
+                self.violations.append((self.now, running))
             most_before = running
-            self.most_cpu_milli = max(self.most_cpu_milli, running)
+            self.max_cpu_milli = max(self.max_cpu_milli, running)
             if self.now % 50 == 0:
                 self._look_for_standstill(running)
             yield self.env.timeout(5)
@@ -129,14 +131,14 @@
         """Note for how long a job has had nothing running below half of the limit."""
         holds_little = 2 * running < min(map(_limit_of, self.cells))
         for harness in self.cells:
-            if harness.dead:
+            if harness.is_owner_down:
                 continue
             for job in harness.cell.context.live_jobs.values():
                 if job.runs or not holds_little:
-                    self.still.pop(job.job_id, None)
+                    self.stalled_since.pop(job.job_id, None)
                     continue
-                since_ms = self.still.setdefault(job.job_id, self.now)
-                self.longest_still_ms = max(self.longest_still_ms, self.now - since_ms)
+                since_ms = self.stalled_since.setdefault(job.job_id, self.now)
+                self.longest_stall_ms = max(self.longest_stall_ms, self.now - since_ms)
 
 
 def _limit_of(harness):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -8,16 +8,16 @@
 from thymefork_cells import Cell, effects as fx, encode_spec
 from thymefork_cells.specs import Bounds
 from thymefork_cells.state.advice_slots import AdviceSlots
-from thymefork_cells.workers.looks import LEASE_MS
+from thymefork_cells.workers.worker_poller import LEASE_MS
 
-from .idle_owners import PARTS, IdleOwners
+from .command_transport import COMMAND_LATENCY_MS, CommandTransport
+from .idle_cell_owners import PARTS, IdleCellOwners
 from .machine_faults import MachineFaults
-from .order_carrier import ORDER_MS, OrderCarrier
 from .virtual_gangs import VirtualGangs
 from .virtual_site import QUEUE, configuration, job_spec, worker_entries, worker_ids
-from .virtual_worker import EPOCH_MS, VirtualWorker
+from .virtual_worker import START_EPOCH_MS, VirtualWorker
 
-__all__ = ["EPOCH_MS", "Harness", "SHRINK_KNOWN_MS", "job_spec"]
+__all__ = ["SHRINK_KNOWN_MS", "START_EPOCH_MS", "Harness", "job_spec"]
 
 APPEND_MS = 10.0
 TURN_MS = 5.0
@@ -28,21 +28,21 @@
 class Harness:
     """Carry out a cell's effects.
 
-    `lose` decides which orders get no answer and are not carried out, `mute` which
-    starts are carried out and get none, `drop` which stops vanish without any outcome.
-    `blur` decides which starts get an answer without the worker's clock.
-    `late_ms` tells how much later an order without an answer is carried out, or 0.
-    `refuse` tells why a worker turns a start down, None if it does not; `order_ms` and
-    `answer_ms` tell how long an order takes to its worker, and its answer to be heard;
-    `append_ms` and `turn_ms` how long an append takes and when the next turn follows.
+    `is_command_lost` decides which orders get no answer and are not carried out, `is_start_answer_lost` which
+    starts are carried out and get none, `is_stop_dropped` which stops vanish without any outcome.
+    `omits_worker_clock` decides which starts get an answer without the worker's clock.
+    `command_delay_ms` tells how much later an order without an answer is carried out, or 0.
+    `refusal_for` tells why a worker turns a start down, None if it does not; `command_latency_ms` and
+    `answer_latency_ms` tell how long an order takes to its worker, and its answer to be heard;
+    `append_latency_ms` and `cycle_interval_ms` how long an append takes and when the next turn follows.
     `advisers` is how many instances make calls to the advice service, each one at a
     time, None for as many as needed. An order to a worker whose address is not known
     goes nowhere, as in the daemon.
     `crashes_after_ms` tells of a task how long after its start it crashes its worker,
-    None if it does not; the machine is back after `back_after_ms`, as another worker
-    or, where it `keeps_ids`, as the same, listed `entry_after_ms` later; `crashes`
+    None if it does not; the machine is back after `return_delay_ms`, as another worker
+    or, where it `keeps_worker_ids`, as the same, listed `entry_delay_ms` later; `crashes`
     lists what happened. `owners` carries messages on parts of limits to the owners of
-    other cells, which are idle where nothing is said. `breaches` lists the starts that
+    other cells, which are idle where nothing is said. `violations` lists the starts that
     brought a worker over its processors, by `resize` and the descriptions of the jobs.
     """
 
@@ -64,8 +64,8 @@
         self.env = env or simpy.Environment()
         self.cell_index = cell
         self.cell_count = cell_count
-        self.owners = owners or IdleOwners(harness=self)
-        self.carrier = OrderCarrier(harness=self)
+        self.owners = owners or IdleCellOwners(harness=self)
+        self.transport = CommandTransport(harness=self)
         self.faults = MachineFaults(harness=self)
         self.gangs = None
         self.workers = {
@@ -80,24 +80,24 @@
         self.bounds = Bounds()
         self.store = {}
         self.store_down = False
-        self.lose = lambda effect: False
-        self.mute = lambda effect: False
-        self.drop = lambda effect: False
-        self.blur = lambda effect: False
-        self.late_ms = lambda effect: 0.0
-        self.refuse = lambda effect: None
-        self.order_ms = lambda effect: ORDER_MS
-        self.answer_ms = lambda effect: 0.0
-        self.append_ms = lambda: APPEND_MS
-        self.turn_ms = lambda: TURN_MS
+        self.is_command_lost = lambda effect: False
+        self.is_start_answer_lost = lambda effect: False
+        self.is_stop_dropped = lambda effect: False
+        self.omits_worker_clock = lambda effect: False
+        self.command_delay_ms = lambda effect: 0.0
+        self.refusal_for = lambda effect: None
+        self.command_latency_ms = lambda effect: COMMAND_LATENCY_MS
+        self.answer_latency_ms = lambda effect: 0.0
+        self.append_latency_ms = lambda: APPEND_MS
+        self.cycle_interval_ms = lambda: TURN_MS
         self.crashes_after_ms = lambda task: None
-        self.back_after_ms = 2_800.0
-        self.keeps_ids = False
-        self.entry_after_ms = 0.0
+        self.return_delay_ms = 2_800.0
+        self.keeps_worker_ids = False
+        self.entry_delay_ms = 0.0
         self.crashes = []
-        self.breaches = []
+        self.violations = []
         self.specs = {}
-        self.rooms = {
+        self.capacity_history = {
             entry.worker_id: [(float("-inf"), entry.cpu_milli)]
             for entry in self.entries
         }
@@ -106,11 +106,11 @@
         self.counts = Counter()
         self.asked = []
         self.allowed = lambda step, worker_id: True
-        self.dead = False
+        self.is_owner_down = False
         self.cell = None
         self.epoch = 0
-        self.told_ends = []
-        self.told_speeds = {}
+        self.announced_ends = []
+        self.announced_speeds = {}
 
     @property
     def now(self):
@@ -119,8 +119,8 @@
     def take_over(self):
         """Begin as a new owner with what is stored."""
         self.epoch += 1
-        self.dead = False
-        self.carrier.forget_connections()
+        self.is_owner_down = False
+        self.transport.forget_connections()
         self.appending = False
         self.cell = Cell(
             cell=self.cell_index,
@@ -131,17 +131,19 @@
             membership_ms=1_000.0,
             now_ms=self.now,
         )
-        self.cell.context.epoch_ms = lambda: EPOCH_MS + self.now
-        self.cell.load(dict(self.store), epoch_ms=EPOCH_MS + self.now, now_ms=self.now)
-        self.cell.roster.update(self.entries, now_ms=self.now)
-        self.cell.inherited_ends.apply(self.told_ends, now_ms=self.now)
+        self.cell.context.epoch_ms = lambda: START_EPOCH_MS + self.now
+        self.cell.load(
+            dict(self.store), epoch_ms=START_EPOCH_MS + self.now, now_ms=self.now
+        )
+        self.cell.registry.update(self.entries, now_ms=self.now)
+        self.cell.inherited_ends.apply(self.announced_ends, now_ms=self.now)
         self.cell.speed_learner.inherit(
-            list(self.told_speeds.values()), now_ms=self.now
+            list(self.announced_speeds.values()), now_ms=self.now
         )
         self.owners.on_taken_over()
         self.env.process(self._turns(self.cell))
 
-    def judge_gangs(self, *, bounds):
+    def simulate_gangs(self, *, bounds):
         """Let gangs work, wait and break as a whole; to be called before the first."""
         self.bounds = self.cell.context.bounds = bounds
         self.gangs = VirtualGangs(harness=self, wait_ms=bounds.gang_wait_ms)
@@ -149,8 +151,8 @@
 
     def resize(self, worker_id, cpu_milli):
         """Change a worker's room; it says so in its entry."""
-        self.rooms[worker_id].append((self.now, cpu_milli))
-        self.change_list(
+        self.capacity_history[worker_id].append((self.now, cpu_milli))
+        self.publish_worker_list(
             [
                 evolve(entry, cpu_milli=cpu_milli)
                 if entry.worker_id == worker_id
@@ -171,13 +173,19 @@
     def _cpu_of(self, task):
         return self.step_of(task).reserved_cpu_milli
 
-    def check_room(self, worker, task):
+    def check_capacity(self, worker, task):
         """Note a start that brought a worker over its processors."""
-        rooms = self.rooms[worker.worker_id]
-        known = [cpu for at_ms, cpu in rooms if self.now - at_ms > SHRINK_KNOWN_MS]
-        recent = [cpu for at_ms, cpu in rooms if self.now - at_ms <= SHRINK_KNOWN_MS]
+        capacity_history = self.capacity_history[worker.worker_id]
+        known = [
+            cpu for at_ms, cpu in capacity_history if self.now - at_ms > SHRINK_KNOWN_MS
+        ]
+        recent = [
+            cpu
+            for at_ms, cpu in capacity_history
+            if self.now - at_ms <= SHRINK_KNOWN_MS
+        ]
         if self.cpu_used(worker) > max(known[-1:] + recent):
-            self.breaches.append((self.now, worker.worker_id, task))
+            self.violations.append((self.now, worker.worker_id, task))
 
     def submit(self, job_id, spec, queue=QUEUE, account_name=""):
         self.specs[job_id] = spec
@@ -201,16 +209,16 @@
         yield self.env.timeout(after_ms)
         action()
 
-    def take_store_away(self, for_ms):
+    def run_store_outage(self, for_ms):
         """Let an outage of the store pass, which the owner knows of."""
-        self.store_down = self.cell.context.store_is_away = True
+        self.store_down = self.cell.context.is_store_unavailable = True
         self.run(for_ms)
-        self.store_down = self.cell.context.store_is_away = False
+        self.store_down = self.cell.context.is_store_unavailable = False
 
-    def list_workers(self, entries):
+    def load_worker_list(self, entries):
         """Let the owner read a list of workers."""
         self.entries = entries
-        self.cell.roster.update(entries, now_ms=self.now)
+        self.cell.registry.update(entries, now_ms=self.now)
 
     def job(self, job_id):
         return self.cell.context.jobs[job_id]
@@ -237,16 +245,16 @@
     # The owner's part ----------------------------------------------------------
 
     def _turns(self, cell):
-        while cell is self.cell and not self.dead:
+        while cell is self.cell and not self.is_owner_down:
             self._turn(cell)
-            yield self.env.timeout(self.turn_ms())
+            yield self.env.timeout(self.cycle_interval_ms())
 
     def _decide(self, cell):
         if self.advisers:
             free = self.advisers.capacity - self.advisers.count
             free -= len(self.advisers.queue)
             cell.context.advice_slots = AdviceSlots(any_call=free, long_call=free)
-        cell.turn(self.now)
+        cell.run_cycle(self.now)
 
     def _turn(self, cell):
         self._decide(cell)
@@ -257,8 +265,8 @@
             self.env.process(self._append(cell, cell.journal.take(self.now)))
 
     def _append(self, cell, batch):
-        yield self.env.timeout(self.append_ms())
-        if cell is not self.cell or self.dead:
+        yield self.env.timeout(self.append_latency_ms())
+        if cell is not self.cell or self.is_owner_down:
             return
         self.appending = False
         if self.store_down:
@@ -282,36 +290,36 @@
         elif isinstance(effect, fx.Count):
             self.counts[effect.reason] += effect.amount
         elif isinstance(effect, fx.EndsStored):
-            cell.looks.on_ends_stored(effect.worker, effect.last_end, now_ms=self.now)
-        elif isinstance(effect, fx.TellEnds):
-            self.told_ends += effect.ends
-        elif isinstance(effect, fx.TellSpeeds):
-            self.told_speeds |= {speed.machine: speed for speed in effect.speeds}
+            cell.poller.on_ends_stored(effect.worker, effect.last_end, now_ms=self.now)
+        elif isinstance(effect, fx.AnnounceEnds):
+            self.announced_ends += effect.ends
+        elif isinstance(effect, fx.AnnounceSpeeds):
+            self.announced_speeds |= {speed.machine: speed for speed in effect.speeds}
         elif isinstance(effect, fx.StartRun):
-            if cell.orders.may_start(effect.run, self.now):
-                cell.looks.note_lease(effect.run.worker, LEASE_MS, now_ms=self.now)
-                self.env.process(self.carrier.start(cell, effect))
+            if cell.commands.may_start(effect.run, self.now):
+                cell.poller.record_lease(effect.run.worker, LEASE_MS, now_ms=self.now)
+                self.env.process(self.transport.start(cell, effect))
         elif isinstance(effect, fx.StopRun):
-            if effect.run.worker.entry.host and not self.drop(effect):
-                self.env.process(self.carrier.stop(cell, effect))
+            if effect.run.worker.entry.host and not self.is_stop_dropped(effect):
+                self.env.process(self.transport.stop(cell, effect))
         elif isinstance(effect, fx.PaceRun):
-            self.env.process(self.carrier.pace(cell, effect))
-        elif isinstance(effect, fx.LookAt):
-            self.env.process(self.carrier.look(cell, effect))
+            self.env.process(self.transport.pace(cell, effect))
+        elif isinstance(effect, fx.PollWorker):
+            self.env.process(self.transport.poll(cell, effect))
         elif isinstance(effect, PARTS):
             self.owners.send(effect)
-        elif isinstance(effect, fx.AskAdvice):
+        elif isinstance(effect, fx.RequestAdvice):
             self.env.process(self._advise(cell, effect))
 
     def is_current(self, cell):
         """Tell whether a cell has its owner still."""
-        return cell is self.cell and not self.dead
+        return cell is self.cell and not self.is_owner_down
 
-    def change_list(self, entries):
+    def publish_worker_list(self, entries):
         """Change the platform's list; the owner reads it unless the store is away."""
         self.entries = entries
-        if not self.dead and not self.store_down:
-            self.cell.roster.update(entries, now_ms=self.now)
+        if not self.is_owner_down and not self.store_down:
+            self.cell.registry.update(entries, now_ms=self.now)
 
     def crash(self, worker):
         """End a worker's life; its machine comes back, as another worker or as it."""
@@ -321,11 +329,11 @@
         """End a worker's life; another begins under its id."""
         self.faults.restart(worker, **fields)
 
-    def cut_off(self, worker, *, for_ms):
+    def disconnect_worker(self, worker, *, for_ms):
         """Keep a worker out of reach for a while, unless its life ends meanwhile."""
-        self.faults.cut_off(worker, for_ms=for_ms)
+        self.faults.disconnect_worker(worker, for_ms=for_ms)
 
-    def starts_after_crashes(self, task, count):
+    def starts_after_nth_crash(self, task, count):
         """Return the starts of a task after so many workers crashed under it."""
         crashed_ms = [crash.at_ms for crash in self.crashes if task in crash.tasks]
         if len(crashed_ms) < count:
@@ -334,8 +342,8 @@
 
     def _advise(self, cell, effect):
         if self.advisers:
-            with self.advisers.request() as turn:
-                yield turn
+            with self.advisers.request() as run_cycle:
+                yield run_cycle
                 self.asked.append((effect.step.name, effect.worker_ids))
                 yield self.env.timeout(effect.cost_ms)
         else:
--- a/packages/thymefork-cells/src/thymefork_cells/tests/uneven_site.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/heterogeneous_site.py
@@ -7,7 +7,7 @@
 
 from .harness import Harness, job_spec
 
-__all__ = ["BATCH", "FAST", "SLOW", "SMALL", "JobShape", "UnevenSite"]
+__all__ = ["BATCH", "FAST", "SLOW", "SMALL", "HeterogeneousSite", "JobShape"]
 
 # A third of the workers is 2.4 times as fast as the others.
 SLOW = 1.0 / 0.7
@@ -52,7 +52,7 @@
         return super().get(task, usual_ms) * (TAIL_FACTOR if is_tail else 1.0)
 
 
-class UnevenSite(Harness):
+class HeterogeneousSite(Harness):
     """Send jobs at a steady pace and keep what each task's work is."""
 
     def __init__(self, *, seed, slownesses=(SLOW, SLOW, FAST), workers=WORKERS):
@@ -124,7 +124,7 @@
             if task.split(".")[0] in job_ids
         ]
 
-    def share_in_time(self, job_ids):
+    def fraction_on_time(self, job_ids):
         """Return the share of jobs that succeeded by their objective."""
         jobs = {job_id: self.cell.context.jobs[job_id] for job_id in job_ids}
         in_time = [
--- a/packages/thymefork-cells/src/thymefork_cells/tests/idle_owners.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/idle_cell_owners.py
@@ -3,9 +3,9 @@
 from thymefork_cells import Cell, effects as fx
 from thymefork_cells.specs import Bounds
 
-__all__ = ["APPEND_MS", "LINK_MS", "PARTS", "IdleOwners"]
+__all__ = ["APPEND_MS", "LINK_MS", "PARTS", "IdleCellOwners"]
 
-PARTS = (fx.AskParts, fx.GrantParts, fx.HoldParts)
+PARTS = (fx.RequestParts, fx.GrantParts, fx.ReportHeldParts)
 LINK_MS = 2.0
 APPEND_MS = 10.0
 # A new owner finds the others, and opens its links, within two heartbeats.
@@ -13,7 +13,7 @@
 TURN_MS = 20.0
 
 
-class IdleOwners:
+class IdleCellOwners:
     """Play cells without workers or jobs, each from the first message to it."""
 
     def __init__(self, *, harness):
@@ -35,7 +35,7 @@
         harness = self._harness
         if message.to_cell != harness.cell.context.cell:
             self._cell(message.to_cell).on_parts(message, now_ms=harness.now)
-        elif not harness.dead:
+        elif not harness.is_owner_down:
             harness.cell.on_parts(message, now_ms=harness.now)
 
     def _cell(self, index):
@@ -54,7 +54,7 @@
 
     def _turns(self, cell):
         while True:
-            cell.turn(self._harness.now)
+            cell.run_cycle(self._harness.now)
             self._send_all(cell.take_effects())
             batch = cell.journal.take(self._harness.now)
             yield self._harness.env.timeout(APPEND_MS)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/machine_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/machine_faults.py
@@ -26,7 +26,7 @@
         self._harness = harness
         self._gone_entries = {}
 
-    def crash_by(self, task, worker, after_ms):
+    def crash_if_running(self, task, worker, after_ms):
         yield self._harness.env.timeout(after_ms)
         worker.advance(self._harness.now)
         if any(name == task for name, _ in worker.running):
@@ -39,28 +39,28 @@
         self._harness.crashes.append(
             Crash(at_ms=self._harness.now, worker_id=worker.worker_id, tasks=tasks)
         )
-        if self._harness.keeps_ids:
+        if self._harness.keeps_worker_ids:
             self.restart(
                 worker,
-                away_ms=self._harness.back_after_ms,
-                entry_after_ms=self._harness.entry_after_ms,
+                away_ms=self._harness.return_delay_ms,
+                entry_delay_ms=self._harness.entry_delay_ms,
             )
             return
-        worker.end_life(self._harness.now)
+        worker.end_incarnation(self._harness.now)
         self._harness.env.process(self._come_back(worker))
 
-    def restart(self, worker, *, away_ms, entry_after_ms=0.0):
+    def restart(self, worker, *, away_ms, entry_delay_ms=0.0):
         """End a worker's life; another begins under its id.
 
         Its entry goes after three heartbeats, and is written by the new life a while
         after that has begun.
         """
-        worker.end_life(self._harness.now)
-        self._harness.env.process(self._begin_again(worker, away_ms, entry_after_ms))
+        worker.end_incarnation(self._harness.now)
+        self._harness.env.process(self._begin_again(worker, away_ms, entry_delay_ms))
 
-    def cut_off(self, worker, *, for_ms):
+    def disconnect_worker(self, worker, *, for_ms):
         """Keep a worker out of reach for a while, unless its life ends meanwhile."""
-        worker.cut = True
+        worker.is_unreachable = True
         self._harness.env.process(
             self._reach_again(worker, worker.born_epoch_ms, for_ms)
         )
@@ -68,14 +68,14 @@
     def _reach_again(self, worker, born_epoch_ms, for_ms):
         yield self._harness.env.timeout(for_ms)
         if worker.born_epoch_ms == born_epoch_ms:
-            worker.cut = False
+            worker.is_unreachable = False
 
-    def _begin_again(self, worker, away_ms, entry_after_ms):
+    def _begin_again(self, worker, away_ms, entry_delay_ms):
         entry = self._last_entry_of(worker)
         lapse_ms = min(LAPSE_MS, away_ms)
         yield self._harness.env.timeout(lapse_ms)
         if away_ms > LAPSE_MS:
-            self._harness.change_list(
+            self._harness.publish_worker_list(
                 [
                     one
                     for one in self._harness.entries
@@ -83,14 +83,14 @@
                 ]
             )
         yield self._harness.env.timeout(away_ms - lapse_ms)
-        worker.begin_life(self._harness.now)
+        worker.begin_incarnation(self._harness.now)
         born_epoch_ms = worker.born_epoch_ms
-        yield self._harness.env.timeout(entry_after_ms)
+        yield self._harness.env.timeout(entry_delay_ms)
         others = [
             one for one in self._harness.entries if one.worker_id != entry.worker_id
         ]
-        if worker.born_epoch_ms == born_epoch_ms and not worker.cut:
-            self._harness.change_list(
+        if worker.born_epoch_ms == born_epoch_ms and not worker.is_unreachable:
+            self._harness.publish_worker_list(
                 [*others, evolve(entry, born_epoch_ms=born_epoch_ms)]
             )
 
@@ -102,21 +102,21 @@
         return entry
 
     def _come_back(self, worker):
-        lapse_ms = min(LAPSE_MS, self._harness.back_after_ms)
+        lapse_ms = min(LAPSE_MS, self._harness.return_delay_ms)
         yield self._harness.env.timeout(lapse_ms)
         entry = next(
             one for one in self._harness.entries if one.worker_id == worker.worker_id
         )
-        self._harness.change_list(
+        self._harness.publish_worker_list(
             [one for one in self._harness.entries if one is not entry]
         )
-        yield self._harness.env.timeout(self._harness.back_after_ms - lapse_ms)
+        yield self._harness.env.timeout(self._harness.return_delay_ms - lapse_ms)
         worker.is_replaced = True
         new_id = f"{worker.worker_id}+"
         self._harness.workers[new_id] = VirtualWorker(
-            worker_id=new_id, work_ms=worker.work_ms, clock_ahead_ms=1_000.0
+            worker_id=new_id, work_ms=worker.work_ms, clock_offset_ms=1_000.0
         )
-        self._harness.rooms[new_id] = [(float("-inf"), entry.cpu_milli)]
-        self._harness.change_list(
+        self._harness.capacity_history[new_id] = [(float("-inf"), entry.cpu_milli)]
+        self._harness.publish_worker_list(
             [*self._harness.entries, evolve(entry, worker_id=new_id)]
         )
--- a/packages/thymefork-cells/src/thymefork_cells/tests/run_rules.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/run_invariants.py
@@ -1,9 +1,9 @@
 """What must hold of the runs of a task, judged by what the workers did."""
 
-__all__ = ["longest_absence_ms", "twice_run"]
+__all__ = ["longest_gap_ms", "tasks_run_twice"]
 
 
-def twice_run(harness):
+def tasks_run_twice(harness):
     """Return the tasks that ran twice at once, or again after a good end was noted."""
     return sorted(
         task
@@ -16,7 +16,7 @@
     )
 
 
-def longest_absence_ms(harness, task, since_ms):
+def longest_gap_ms(harness, task, since_ms):
     """Return the longest time since a moment in which a task ran nowhere."""
     free_ms, longest_ms = since_ms, 0.0
     for run in _runs_by_task(harness).get(task, []):
@@ -37,11 +37,11 @@
 
 
 def _is_twice(harness, earlier, later):
-    if earlier.is_unforbidden or later.is_unforbidden:
+    if earlier.is_unfenced or later.is_unfenced:
         return False
     ended_ms = harness.now if earlier.ended_ms is None else earlier.ended_ms
     if later.began_ms < ended_ms:
         return True
     if harness.step_of(earlier.task).long_running:
         return False  # however it ends, it is to be started again
-    return earlier.how == "done" and earlier.is_noted
+    return earlier.how == "done" and earlier.is_acknowledged
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_accounts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_accounts.py
@@ -4,8 +4,8 @@
 from attrs import evolve
 
 from thymefork_cells import effects as fx
-from thymefork_cells.accounts.quotas import MOST_IN_VIEW
-from thymefork_cells.specs import AccountPolicy, RoomLimit
+from thymefork_cells.accounts.quotas import MAX_BLOCKED_STEPS
+from thymefork_cells.specs import AccountPolicy, ResourceLimit
 
 from .harness import job_spec
 
@@ -15,7 +15,7 @@
 
 
 def account(name="a", cpu_milli=0, memory_mb=0, accelerators=0, **fields):
-    limit = RoomLimit(
+    limit = ResourceLimit(
         cpu_milli=cpu_milli, memory_mb=memory_mb, accelerators=accelerators
     )
     return AccountPolicy(name=name, limit=limit, **fields)
@@ -37,7 +37,7 @@
     )
 
 
-def most_running(harness, for_ms, *job_ids):
+def max_cpu_running(harness, for_ms, *job_ids):
     """Return the most processors that jobs had running at once in a while."""
     most = 0
     for _ in range(int(for_ms // 5)):
@@ -61,7 +61,7 @@
     harness = make_harness(workers=4)
     use_accounts(harness, account(**limit))
     harness.submit(A, job_spec({**WIDE, "memory_mb": 100}), account_name="a")
-    assert most_running(harness, 300, A) == most
+    assert max_cpu_running(harness, 300, A) == most
 
 
 def test_all_of_it_runs_in_the_end(make_harness):
@@ -88,7 +88,7 @@
     gang = {"count": 4, "cpu_milli": 1_000, "gang": True, "estimated_ms": 400}
     harness.submit(A, job_spec(gang), account_name="a")
     harness.submit(B, job_spec(gang), account_name="a")
-    assert most_running(harness, 400, A, B) == 4_000
+    assert max_cpu_running(harness, 400, A, B) == 4_000
 
 
 def test_copies_count(make_harness):
@@ -98,19 +98,19 @@
     harness.submit(A, job_spec(step), account_name="a")
     harness.run(60)
     for worker in list(harness.workers.values())[:2]:
-        worker.cut = True
-    assert most_running(harness, 3_000, A) <= 4_000
+        worker.is_unreachable = True
+    assert max_cpu_running(harness, 3_000, A) <= 4_000
 
 
 def test_what_is_being_stopped_counts_until_it_is_gone(make_harness):
     harness = make_harness(workers=4)
     use_accounts(harness, account(cpu_milli=4_000))
-    harness.drop = lambda effect: True
+    harness.is_stop_dropped = lambda effect: True
     harness.submit(A, job_spec({**WIDE, "count": 4}), account_name="a")
     harness.run(60)
     harness.cell.intake.cancel("c", A, now_ms=harness.now)
     harness.submit(B, job_spec({**WIDE, "count": 4}), account_name="a")
-    assert most_running(harness, 200, A, B) == 4_000
+    assert max_cpu_running(harness, 200, A, B) == 4_000
 
 
 def test_a_new_owner_counts_what_its_predecessor_started(make_harness):
@@ -120,7 +120,7 @@
     harness.run(60)
     harness.take_over()
     harness.submit(B, job_spec(WIDE), account_name="a")
-    assert most_running(harness, 300, A, B) == 4_000
+    assert max_cpu_running(harness, 300, A, B) == 4_000
 
 
 def test_runs_on_a_silent_worker_count_until_their_leases_are_over(make_harness):
@@ -130,9 +130,9 @@
     harness.submit(A, job_spec(step), account_name="a")
     harness.run(60)
     for worker in harness.workers.values():
-        worker.cut = bool(worker.running)
+        worker.is_unreachable = bool(worker.running)
     harness.submit(B, job_spec(WIDE), account_name="a")
-    assert most_running(harness, 2_000, A, B) == 4_000
+    assert max_cpu_running(harness, 2_000, A, B) == 4_000
 
 
 def test_a_lowered_limit_stops_starts_but_nothing_that_runs(make_harness):
@@ -145,7 +145,7 @@
     harness.run(100)
     assert harness.running() == before
     harness.run(900)
-    assert most_running(harness, 500, A) <= 2_000
+    assert max_cpu_running(harness, 500, A) <= 2_000
 
 
 def test_a_removed_account_keeps_its_last_limit(make_harness):
@@ -154,7 +154,7 @@
     harness.submit(A, job_spec(WIDE), account_name="a")
     harness.run(60)
     use_accounts(harness, account("b"), version=3)
-    assert most_running(harness, 3_000, A) == 3_000
+    assert max_cpu_running(harness, 3_000, A) == 3_000
     harness.run(20_000)
     assert str(harness.job(A).state) == "succeeded"
 
@@ -167,7 +167,7 @@
     harness.run(100)
     assert not harness.running()
     use_accounts(harness, account(cpu_milli=2_000), version=3)
-    assert most_running(harness, 200, A) == 2_000
+    assert max_cpu_running(harness, 200, A) == 2_000
 
 
 def test_work_of_an_account_that_nobody_knows_is_not_held_for_ever(make_harness):
@@ -183,7 +183,7 @@
     use_accounts(harness, account(cpu_milli=8_000))
     harness.cell.context.cell_count = 2
     harness.submit(A, job_spec(WIDE), account_name="a")
-    assert most_running(harness, 300, A) == 4_000
+    assert max_cpu_running(harness, 300, A) == 4_000
 
 
 def test_what_can_never_fit_is_refused_at_once(make_harness):
@@ -236,7 +236,7 @@
         harness.submit(f"{number:016x}", job_spec(WIDE), account_name="a")
     harness.run(300)
     asked = {step for step, _ in harness.asked}
-    assert 0 < len(asked) <= 2 + MOST_IN_VIEW
+    assert 0 < len(asked) <= 2 + MAX_BLOCKED_STEPS
 
 
 def test_no_room_is_kept_for_a_step_that_its_limit_holds_back(make_harness):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_advice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_advice.py
@@ -13,7 +13,7 @@
     harness.allowed = lambda step, worker_id: worker_id == "w2"
     harness.submit(JOB, job_spec({"count": 3, "cpu_milli": 500}))
     harness.run(2_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert {w.worker_id for w in harness.workers.values() if w.starts} == {"w2"}
 
 
@@ -54,4 +54,4 @@
         harness.run(400)
     starts_ms = [at_ms for _, _, at_ms in harness.starts_of(f"{patient}.0.0.0")]
     assert starts_ms and starts_ms[0] < 4_000
-    assert harness.job(patient).shown_state is JobState.SUCCEEDED
+    assert harness.job(patient).visible_state is JobState.SUCCEEDED
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_at_size.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_at_scale.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from thymefork_cells.advice.choice import AllowedShares, choose_workers
+from thymefork_cells.advice.worker_selection import ApprovalRates, choose_workers
 from thymefork_cells.specs import WorkerEntry
 from thymefork_cells.state import Job, Worker
 
@@ -90,23 +90,23 @@
 
 
 def choose(step, workers, wanted, waited_ms=0.0, **fields):
-    with_room = [worker for worker in workers if worker.has_room(step.spec)]
-    others = [worker for worker in workers if not worker.has_room(step.spec)]
+    with_capacity = [worker for worker in workers if worker.has_capacity(step.spec)]
+    others = [worker for worker in workers if not worker.has_capacity(step.spec)]
     return choose_workers(
-        step, with_room, others, wanted, waited_ms=waited_ms, **fields
+        step, with_capacity, others, wanted, waited_ms=waited_ms, **fields
     )
 
 
 def test_a_step_asks_about_the_hall_with_the_most_room_first():
     workers = workers_of(*[4_000] * 20, *[16_000] * 20, hall=lambda n: f"h{n // 20}")
-    chosen = choose(step_of(), workers, 6, share=0.7, most=100)
+    chosen = choose(step_of(), workers, 6, approval_rate=0.7, max_workers=100)
     assert {worker.entry.hall for worker in chosen} == {"h1"}
 
 
-@pytest.mark.parametrize("share, least", [(1.0, 8), (0.35, 9), (0.1, 30)])
-def test_a_stricter_policy_is_asked_about_more_workers(share, least):
+@pytest.mark.parametrize("approval_rate, least", [(1.0, 8), (0.35, 9), (0.1, 30)])
+def test_a_stricter_policy_is_asked_about_more_workers(approval_rate, least):
     workers = workers_of(*[16_000] * 270)
-    chosen = choose(step_of(), workers, 6, share=share, most=100)
+    chosen = choose(step_of(), workers, 6, approval_rate=approval_rate, max_workers=100)
     assert least <= len(chosen) <= 2 * least
 
 
@@ -115,7 +115,7 @@
     step = step_of()
     asked = []
     for step.denials_in_row in range(5):
-        chosen = choose(step, workers, 6, share=0.7, most=100)
+        chosen = choose(step, workers, 6, approval_rate=0.7, max_workers=100)
         asked.append(len(chosen))
     assert asked == sorted(asked)
     assert asked[-1] == 100
@@ -124,22 +124,26 @@
 def test_steps_that_ask_at_once_ask_about_different_workers():
     workers = workers_of(*[16_000] * 270)
     first, second = (
-        set(map(id, choose(step_of(job), workers, 6, share=0.7, most=100)))
+        set(
+            map(
+                id, choose(step_of(job), workers, 6, approval_rate=0.7, max_workers=100)
+            )
+        )
         for job in ("00000000000000aa", "00000000000000ab")
     )
     assert len(first & second) < len(first) / 2
 
 
 def test_the_share_that_a_policy_allows_is_learned():
-    shares = AllowedShares()
-    assert shares.of("q") == 0.5
+    shares = ApprovalRates()
+    assert shares.rate_of("q") == 0.5
     for _ in range(60):
         shares.learn("q", 1, 10)
-    assert shares.of("q") == pytest.approx(0.1, abs=0.01)
+    assert shares.rate_of("q") == pytest.approx(0.1, abs=0.01)
     for _ in range(60):
         shares.learn("q", 0, 10)
-    assert shares.of("q") > 0
-    assert shares.of("another") == 0.5
+    assert shares.rate_of("q") > 0
+    assert shares.rate_of("another") == 0.5
 
 
 def test_a_step_whose_workers_filled_up_asks_about_others(make_harness):
@@ -158,7 +162,7 @@
 
 def test_a_step_asks_about_full_workers_only_beside_those_with_room():
     workers = workers_of(*[16_000] * 3, *[1_000] * 40)
-    chosen = choose(step_of(), workers, 6, share=0.5, most=100)
+    chosen = choose(step_of(), workers, 6, approval_rate=0.5, max_workers=100)
     assert set(map(id, workers[:3])) <= set(map(id, chosen))
     assert 8 <= len(chosen) <= 24
 
@@ -248,7 +252,16 @@
     workers = workers_of(*[16_000] * 270)
     step = step_of()
     asked = [
-        len(choose(step, workers, 1, share=0.7, most=100, waited_ms=waited_ms))
+        len(
+            choose(
+                step,
+                workers,
+                1,
+                approval_rate=0.7,
+                max_workers=100,
+                waited_ms=waited_ms,
+            )
+        )
         for waited_ms in (0.0, 600.0, 1_100.0, 1_600.0, 2_600.0)
     ]
     assert asked[0] == 8 and asked == sorted(asked) and asked[-1] == 100
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_cancelled_runs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_cancelled_runs.py
@@ -44,42 +44,46 @@
     assert harness.replies["cancel"].outcome is Outcome.CANCELLED
 
 
-@pytest.mark.parametrize("late_ms", [400, 2_500])
+@pytest.mark.parametrize("command_delay_ms", [400, 2_500])
 def test_a_task_that_was_started_late_is_stopped_after_its_cancelling(
-    make_harness, late_ms
+    make_harness, command_delay_ms
 ):
     harness = make_harness(workers=1)
     harness.workers["w0"].work_ms = 600_000.0
-    harness.late_ms = lambda effect: late_ms if isinstance(effect, StartRun) else 0.0
+    harness.command_delay_ms = lambda effect: (
+        command_delay_ms if isinstance(effect, StartRun) else 0.0
+    )
     harness.submit(JOB, job_spec({"count": 2, "cpu_milli": 500, "long_running": True}))
     harness.run(100)
     cancel(harness)
-    harness.run(GONE_MS + late_ms)
+    harness.run(GONE_MS + command_delay_ms)
     assert not harness.running()
 
 
-@pytest.mark.parametrize("late_ms", [400, 2_500])
+@pytest.mark.parametrize("command_delay_ms", [400, 2_500])
 def test_a_task_that_was_started_late_for_a_removed_owner_is_stopped(
-    make_harness, late_ms
+    make_harness, command_delay_ms
 ):
     harness = make_harness(workers=1)
     harness.workers["w0"].work_ms = 600_000.0
-    harness.late_ms = lambda effect: late_ms if isinstance(effect, StartRun) else 0.0
+    harness.command_delay_ms = lambda effect: (
+        command_delay_ms if isinstance(effect, StartRun) else 0.0
+    )
     harness.submit(JOB, job_spec({"count": 2, "cpu_milli": 500, "long_running": True}))
     harness.run(100)
     entries, harness.entries = harness.entries, []
     harness.take_over()
     harness.run(100)
     cancel(harness)
-    harness.run(late_ms)
-    harness.list_workers(entries)
+    harness.run(command_delay_ms)
+    harness.load_worker_list(entries)
     harness.run(GONE_MS)
     assert not harness.running()
 
 
-@pytest.mark.parametrize("unlisted_ms", [300, 2_000])
+@pytest.mark.parametrize("unlisted_since_ms", [300, 2_000])
 def test_a_task_cancelled_while_its_worker_is_not_listed_is_stopped(
-    make_harness, unlisted_ms
+    make_harness, unlisted_since_ms
 ):
     harness = make_harness(workers=2)
     start_lasting(harness)
@@ -87,9 +91,9 @@
     harness.take_over()
     harness.run(50)
     cancel(harness)
-    harness.run(unlisted_ms)
-    harness.list_workers(entries)
-    harness.run(GONE_MS - unlisted_ms)
+    harness.run(unlisted_since_ms)
+    harness.load_worker_list(entries)
+    harness.run(GONE_MS - unlisted_since_ms)
     assert not harness.running()
     assert not harness.cell.context.workers["w0"].runs
 
@@ -99,17 +103,17 @@
 ):
     harness = make_harness(workers=2)
     start_lasting(harness)
-    harness.lose = lambda effect: isinstance(effect, StopRun)
+    harness.is_command_lost = lambda effect: isinstance(effect, StopRun)
     cancel(harness)
-    harness.lose = lambda effect: False
+    harness.is_command_lost = lambda effect: False
     assert harness.running()
     entries, harness.entries = harness.entries, []
     harness.take_over()
     harness.run(300)
-    harness.list_workers(entries)
+    harness.load_worker_list(entries)
     harness.run(1_000)
     assert not harness.running()
-    assert harness.job(JOB).shown_state is JobState.CANCELLED
+    assert harness.job(JOB).visible_state is JobState.CANCELLED
 
 
 def test_a_task_cancelled_before_its_worker_is_unlisted_is_stopped(make_harness):
@@ -118,18 +122,18 @@
     harness.take_over()
     harness.run(50)
     cancel(harness)
-    harness.list_workers([])
+    harness.load_worker_list([])
     harness.run(GONE_MS)
     assert not harness.running()
 
 
 def no_outcome(harness):
-    harness.drop = lambda effect: isinstance(effect, StopRun)
+    harness.is_stop_dropped = lambda effect: isinstance(effect, StopRun)
 
 
 def answered_in_vain(harness):
     for worker in harness.workers.values():
-        worker.idle_stops = 2
+        worker.ignored_stops = 2
 
 
 @pytest.mark.parametrize("go_astray", [no_outcome, answered_in_vain])
@@ -138,7 +142,7 @@
     start_lasting(harness)
     go_astray(harness)
     cancel(harness)
-    harness.drop = lambda effect: False
+    harness.is_stop_dropped = lambda effect: False
     harness.run(GONE_MS)
     assert not harness.running()
 
@@ -148,7 +152,7 @@
 ):
     harness = make_harness(workers=1)
     start_lasting(harness)
-    harness.lose = lambda effect: isinstance(effect, StopRun)
+    harness.is_command_lost = lambda effect: isinstance(effect, StopRun)
     cancel(harness)
     harness.run(GONE_MS)
     assert not harness.running()
@@ -164,8 +168,8 @@
 
     def begin(self):
         """Let some orders be lost, and some be carried out up to 12 s later."""
-        self._harness.lose = lambda effect: self._rng.random() < 0.06
-        self._harness.late_ms = self._late_ms
+        self._harness.is_command_lost = lambda effect: self._rng.random() < 0.06
+        self._harness.command_delay_ms = self._late_ms
 
     def _late_ms(self, effect):
         return self._rng.uniform(300, 12_000) if self._rng.random() < 0.1 else 0.0
@@ -175,22 +179,22 @@
         harness, rng = self._harness, self._rng
         if rng.random() < 0.1:
             worker = rng.choice(list(harness.workers.values()))
-            worker.cut = not worker.cut
+            worker.is_unreachable = not worker.is_unreachable
         if rng.random() < 0.15:
             count = rng.randint(0, len(self._entries))
-            harness.list_workers(rng.sample(self._entries, count))
+            harness.load_worker_list(rng.sample(self._entries, count))
         if rng.random() < 0.08:
-            harness.dead = True
+            harness.is_owner_down = True
             harness.run(rng.choice([20, 300, 1_200]))
             harness.take_over()
 
     def end(self):
         """Let everything work again."""
-        self._harness.lose = lambda effect: False
-        self._harness.late_ms = lambda effect: 0.0
+        self._harness.is_command_lost = lambda effect: False
+        self._harness.command_delay_ms = lambda effect: 0.0
         for worker in self._harness.workers.values():
-            worker.cut = False
-        self._harness.list_workers(self._entries)
+            worker.is_unreachable = False
+        self._harness.load_worker_list(self._entries)
 
 
 def lasting_job(rng):
@@ -224,4 +228,4 @@
     assert gone
     assert not [task for task, _ in harness.running() if task.split(".")[0] in gone]
     assert not [run for job_id in gone for run in harness.job(job_id).runs]
-    assert not harness.cell.context.owed_stops
+    assert not harness.cell.context.pending_stops
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_room_changes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_capacity_changes.py
@@ -34,7 +34,7 @@
     for number in range(30):
         submit_many(harness, 2, first=200 + 2 * number, cpu_milli=1_000)
         harness.run(500)
-    assert not harness.breaches
+    assert not harness.violations
     assert all(harness.cpu_used(w) <= 2_000 for w in harness.workers.values())
 
 
@@ -46,7 +46,7 @@
     assert not harness.running()
     resize_all(harness, 8_000)
     harness.run(1_200)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_worker_without_room_is_no_worker_to_use(make_harness):
@@ -57,7 +57,7 @@
     assert not harness.running()
     harness.resize("w1", 8_000)
     harness.run(2_000)
-    assert not harness.breaches
+    assert not harness.violations
     assert all(job.state is JobState.SUCCEEDED for job in _jobs(harness))
 
 
@@ -65,15 +65,15 @@
 def test_runs_of_each_state_count_after_a_shrink(make_harness, state):
     harness = make_harness(workers=1)
     harness.workers["w0"].work_ms = 5_000.0
-    harness.mute = lambda effect: state is RunState.SENT
+    harness.is_start_answer_lost = lambda effect: state is RunState.SENT
     submit_many(harness, 8, cpu_milli=1_000)
     harness.run({RunState.INTENDED: 8, RunState.SENT: 40, RunState.LIVE: 300}[state])
     harness.resize("w0", 4_000)
     submit_many(harness, 8, first=200, cpu_milli=1_000)
     harness.run(SHRINK_KNOWN_MS + 500)
-    harness.mute = lambda effect: False
+    harness.is_start_answer_lost = lambda effect: False
     harness.run(30_000)
-    assert not harness.breaches
+    assert not harness.violations
     assert all(job.state is JobState.SUCCEEDED for job in _jobs(harness))
 
 
@@ -91,14 +91,14 @@
 def test_what_is_being_stopped_still_counts(make_harness):
     harness = make_harness(workers=1)
     harness.workers["w0"].work_ms = 30_000.0
-    harness.workers["w0"].idle_stops = 40  # answered, and not carried out
+    harness.workers["w0"].ignored_stops = 40  # answered, and not carried out
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 2_000}))
     harness.run(300)
     harness.resize("w0", 4_000)
     harness.cell.intake.cancel("c", JOB, now_ms=harness.now)
     submit_many(harness, 4, cpu_milli=2_000)
     harness.run(SHRINK_KNOWN_MS + 2_000)
-    assert not harness.breaches
+    assert not harness.violations
 
 
 def test_a_predecessors_runs_count_on_a_worker_that_shrank(make_harness):
@@ -107,13 +107,13 @@
         worker.work_ms = 6_000.0
     submit_many(harness, 16, cpu_milli=1_000)
     harness.run(300)
-    harness.dead = True
+    harness.is_owner_down = True
     resize_all(harness, 3_000)
     harness.run(500)
     harness.take_over()
     submit_many(harness, 8, first=200, cpu_milli=1_000)
     harness.run(20_000)
-    assert not harness.breaches
+    assert not harness.violations
     assert all(job.state is JobState.SUCCEEDED for job in _jobs(harness))
 
 
@@ -124,11 +124,11 @@
         harness.run(1)
     harness.resize("w1", 4_000)
     harness.run(6_000)
-    assert not harness.breaches
+    assert not harness.violations
     assert harness.job(JOB).state is JobState.RUNNING
     harness.resize("w1", 8_000)
     harness.run(6_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_task_goes_where_it_fits_once_its_worker_has_shrunk(make_harness):
@@ -136,7 +136,7 @@
     harness.resize("w0", 2_000)
     harness.submit(JOB, job_spec({"count": 3, "cpu_milli": 5_000}))
     harness.run(5_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert {worker for worker, _, _ in harness.starts_of(f"{JOB}.0.0.0")} == {"w1"}
 
 
@@ -158,14 +158,14 @@
     harness = make_harness(workers=2)
     harness.workers["w0"].work_ms = 3_000.0
     entries = harness.entries
-    harness.list_workers(
+    harness.load_worker_list(
         [evolve(one, is_lapsed=one.worker_id == "w0") for one in entries]
     )
     submit_many(harness, 4, cpu_milli=500)
     harness.run(300)
     assert not harness.workers["w0"].running
     assert len(harness.workers["w1"].running) == 4
-    harness.list_workers(entries)
+    harness.load_worker_list(entries)
     harness.submit(JOB, job_spec({"count": 16, "cpu_milli": 900}))
     harness.run(300)
     assert harness.workers["w0"].running
@@ -173,28 +173,28 @@
 
 def test_nothing_starts_by_a_list_that_was_read_too_long_ago(harness):
     """From the soak: work went out by the list from before an outage, or a pause."""
-    harness.cell.context.workers_known_ms = harness.now
+    harness.cell.context.worker_list_as_of_ms = harness.now
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(2_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     harness.run(1_500)
     harness.submit(NEXT, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(2_000)
     assert not harness.starts_of(f"{NEXT}.0.0.0")
-    harness.cell.context.workers_known_ms = harness.now
+    harness.cell.context.worker_list_as_of_ms = harness.now
     harness.run(1_500)
-    assert harness.job(NEXT).shown_state is JobState.SUCCEEDED
+    assert harness.job(NEXT).visible_state is JobState.SUCCEEDED
 
 
 def test_a_start_decided_before_a_pause_is_decided_again_after_it(harness):
-    harness.cell.context.workers_known_ms = harness.now
+    harness.cell.context.worker_list_as_of_ms = harness.now
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(8)
     (run,) = harness.job(JOB).runs
-    assert not harness.cell.orders.may_start(run, harness.now + 5_000)
+    assert not harness.cell.commands.may_start(run, harness.now + 5_000)
     assert not harness.job(JOB).runs
     harness.run(1_500)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -209,19 +209,21 @@
         {"count": 4, "cpu_milli": 1_500, "gang": True},
         {"count": 2, "cpu_milli": 2_500, "speculative": True},
     )
-    harness.mute = lambda effect: isinstance(effect, StartRun) and rng.random() < 0.05
+    harness.is_start_answer_lost = lambda effect: (
+        isinstance(effect, StartRun) and rng.random() < 0.05
+    )
     for number in range(60):
         harness.submit(f"{number:016x}", job_spec(rng.choice(kinds)))
         for entry in rng.sample(harness.entries, 2):
             harness.resize(entry.worker_id, rng.choice((0, 2_000, 4_000, 8_000)))
         if rng.random() < 0.1:
-            harness.dead = True
+            harness.is_owner_down = True
             harness.run(300)
             harness.take_over()
         harness.run(500)
     resize_all(harness, 8_000)
     harness.run(40_000)
-    assert not harness.breaches
+    assert not harness.violations
     assert all(job.state is JobState.SUCCEEDED for job in _jobs(harness))
 
 
@@ -245,10 +247,10 @@
     harness.store_down = True
     harness.run(2_000)
     entries = harness.entries
-    harness.list_workers([evolve(entry, is_lapsed=True) for entry in entries])
+    harness.load_worker_list([evolve(entry, is_lapsed=True) for entry in entries])
     harness.store_down = False
     harness.run(500)
     assert not harness.starts_of(f"{'c' * 16}.0.1.0")
-    harness.list_workers(entries)
+    harness.load_worker_list(entries)
     harness.run(1_000)
     assert len(harness.starts_of(f"{'c' * 16}.0.1.0")) == 1
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_batches_under_way.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_concurrent_appends.py
@@ -73,11 +73,11 @@
     assert harness.replies[JOB].outcome is Outcome.ACCEPTED
     harness.run(100)
     assert not harness.starts_of(f"{JOB}.0.0.0")
-    assert harness.job(JOB).shown_state is JobState.QUEUED
+    assert harness.job(JOB).visible_state is JobState.QUEUED
     appends.store_first()
     harness.run(100)
     assert harness.starts_of(f"{JOB}.0.0.0")
-    assert harness.job(JOB).shown_state is JobState.RUNNING
+    assert harness.job(JOB).visible_state is JobState.RUNNING
 
 
 def test_a_new_job_that_comes_back_is_refused_and_never_starts(harness, appends):
@@ -140,12 +140,12 @@
     appends.store_first()
     journal = harness.cell.journal
     for job_id in (JOB, OTHER):
-        journal.change(harness.job(job_id))
+        journal.mark_changed(harness.job(job_id))
     appends.send()
     journal.after("told")
     assert appends.send().effects == ["told"]
     appends.give_back()
-    monkeypatch.setattr(journal_module, "MOST_BATCH_BYTES", 0)
+    monkeypatch.setattr(journal_module, "MAX_BATCH_BYTES", 0)
     harness.job(JOB).state = harness.job(OTHER).state = JobState.RUNNING
     assert "told" not in appends.send().effects
     assert "told" in appends.send().effects
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_trials.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
@@ -2,9 +2,12 @@
 
 import pytest
 
-from thymefork_cells import OrderAnswer, Refusal
-from thymefork_cells.state import JobState, Loss
-from thymefork_cells.workers.worker_losses import SHORTEST_TRIAL_MS, SOUND_MS
+from thymefork_cells import CommandAnswer, Refusal
+from thymefork_cells.state import JobState, WorkerLoss
+from thymefork_cells.workers.worker_losses import (
+    MAX_CLEARING_TIME_MS,
+    MIN_CLEARING_TIME_MS,
+)
 
 from .harness import job_spec
 
@@ -40,7 +43,7 @@
 
 
 def reachable(harness):
-    return [worker for worker in harness.workers.values() if not worker.cut]
+    return [worker for worker in harness.workers.values() if not worker.is_unreachable]
 
 
 # Those that stood beside -------------------------------------------------------
@@ -58,8 +61,8 @@
             harness.submit(bad[number], job_spec({"count": 3, "cpu_milli": 500}))
         harness.run(200)
     harness.run(40_000)
-    assert {harness.job(job).shown_state for job in good} == {JobState.SUCCEEDED}
-    assert {harness.job(job).shown_state for job in bad} == {JobState.FAILED}
+    assert {harness.job(job).visible_state for job in good} == {JobState.SUCCEEDED}
+    assert {harness.job(job).visible_state for job in bad} == {JobState.FAILED}
 
 
 def test_lasting_tasks_beside_crashing_ones_go_on(make_harness):
@@ -74,8 +77,8 @@
         harness.submit(job, job_spec({"count": 2, "cpu_milli": 500}))
         harness.run(1_700)
     harness.run(40_000)
-    assert {harness.job(job).shown_state for job in bad} == {JobState.FAILED}
-    assert harness.job(INNOCENT).shown_state is JobState.RUNNING
+    assert {harness.job(job).visible_state for job in bad} == {JobState.FAILED}
+    assert harness.job(INNOCENT).visible_state is JobState.RUNNING
     at_work = [task for task, _ in harness.running() if task.startswith(INNOCENT)]
     assert len(at_work) == 8
 
@@ -142,7 +145,7 @@
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
     (task,) = harness.job(INNOCENT).steps[0].tasks
     for worker_id, after_ms in (("x", 1_013), ("y", 3_835), ("z", 821)):
-        task.losses[worker_id] = Loss(
+        task.losses[worker_id] = WorkerLoss(
             worker_id=worker_id, after_ms=after_ms, is_certain=True
         )
     harness.run(1_500)
@@ -160,7 +163,7 @@
     harness.run(1_000)
     task = harness.job(INNOCENT).steps[0].tasks[0]
     task.losses = {
-        name: Loss(worker_id=name, after_ms=10, is_certain=True) for name in "xy"
+        name: WorkerLoss(worker_id=name, after_ms=10, is_certain=True) for name in "xy"
     }
     crash_where(harness, INNOCENT)
     task.losses.pop("y")
@@ -171,12 +174,12 @@
 
 def test_a_task_waits_for_word_of_the_third_worker(make_harness):
     harness = make_harness(workers=9, **THREE_HALLS)
-    harness.back_after_ms = 3_700.0  # later than the leases are over
+    harness.return_delay_ms = 3_700.0  # later than the leases are over
     harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(30_000)
     assert len(harness.starts_of(FIRST_TASK)) == 3
-    assert harness.job(CRASHING).shown_state is JobState.FAILED
+    assert harness.job(CRASHING).visible_state is JobState.FAILED
 
 
 def test_copies_stop_once_two_workers_of_a_task_are_silent(make_harness):
@@ -198,14 +201,16 @@
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
     for _ in range(6):
         harness.run(1_000)
-        cut = next(worker for worker in harness.workers.values() if worker.running)
-        cut.cut = True
+        is_unreachable = next(
+            worker for worker in harness.workers.values() if worker.running
+        )
+        is_unreachable.is_unreachable = True
         harness.run(3_600)
         assert [len(found) for found in losses(harness)] == [1]
-        cut.cut = False
+        is_unreachable.is_unreachable = False
         harness.run(600)
         assert not losses(harness)
-    assert harness.job(INNOCENT).shown_state is JobState.RUNNING
+    assert harness.job(INNOCENT).visible_state is JobState.RUNNING
 
 
 def test_a_worker_that_leaves_is_no_loss(make_harness):
@@ -218,20 +223,20 @@
         others = [
             entry for entry in harness.entries if entry.worker_id != leaves.worker_id
         ]
-        harness.list_workers(others)
+        harness.load_worker_list(others)
         harness.run(800)
-        leaves.cut = True
+        leaves.is_unreachable = True
         harness.run(4_200)
         assert len(harness.starts_of(f"{INNOCENT}.0.0.0")) > 1
         assert not losses(harness)
-    assert harness.job(INNOCENT).shown_state is JobState.RUNNING
+    assert harness.job(INNOCENT).visible_state is JobState.RUNNING
 
 
 def test_a_silent_worker_is_known_to_have_crashed_once_its_machine_is_back(
     make_harness,
 ):
     harness = make_harness(workers=6, **THREE_HALLS)
-    harness.back_after_ms = 4_500.0
+    harness.return_delay_ms = 4_500.0
     set_work_ms(harness, 120_000.0)
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(1_000)
@@ -247,8 +252,8 @@
     harness.run(30)
     task = harness.job(INNOCENT).steps[0].tasks[0]
     (run,) = task.runs
-    answer = OrderAnswer(refusal=Refusal.OTHER_LIFE)
-    harness.cell.on_start(run, answer, now_ms=harness.now)
+    answer = CommandAnswer(refusal=Refusal.OTHER_LIFE)
+    harness.cell.on_start_answer(run, answer, now_ms=harness.now)
     assert not task.losses
     assert run not in task.runs
 
@@ -257,14 +262,14 @@
     harness = make_harness(workers=6, **THREE_HALLS)
     set_work_ms(harness, 120_000.0)
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
-    for proof_ms in (SHORTEST_TRIAL_MS, 23_000.0):  # the second was at work for 11 s
+    for proof_ms in (MIN_CLEARING_TIME_MS, 23_000.0):  # the second was at work for 11 s
         harness.run(1_000)
         crash_where(harness, INNOCENT)
         harness.run(3_700)
         assert losses(harness)
         harness.run(proof_ms + 3_000)
         assert not losses(harness)
-    assert harness.job(INNOCENT).shown_state is JobState.RUNNING
+    assert harness.job(INNOCENT).visible_state is JobState.RUNNING
 
 
 def test_a_run_that_was_long_at_work_is_not_blamed(make_harness):
@@ -273,11 +278,11 @@
     lasting = {"count": 1, "cpu_milli": 500, "long_running": True}
     harness.submit(INNOCENT, job_spec(lasting))
     for _ in range(5):
-        harness.run(SOUND_MS + 5_000)
+        harness.run(MAX_CLEARING_TIME_MS + 5_000)
         crash_where(harness, INNOCENT)
         harness.run(4_000)
         assert not losses(harness)
-    assert harness.job(INNOCENT).shown_state is JobState.RUNNING
+    assert harness.job(INNOCENT).visible_state is JobState.RUNNING
 
 
 def test_losses_count_at_once_under_the_next_owner(make_harness):
@@ -289,7 +294,7 @@
         crash_where(harness, INNOCENT)
         harness.run(3_700)
     before = losses(harness)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(500)
     harness.take_over()
     assert losses(harness) == before
@@ -300,9 +305,9 @@
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(300)
     task = harness.job(INNOCENT).steps[0].tasks[0]
-    task.losses["w"] = Loss(worker_id="w", after_ms=7, is_certain=True)
+    task.losses["w"] = WorkerLoss(worker_id="w", after_ms=7, is_certain=True)
     task.runs[0].began_ms = 0.0
-    harness.cell.losses.on_listed(task.runs[0], harness.now)
+    harness.cell.losses.on_run_reported(task.runs[0], harness.now)
     assert task.losses
 
 
@@ -311,5 +316,5 @@
     harness.crashes_after_ms = crash_by(FIRST_TASK)
     harness.submit(CRASHING, job_spec({"count": 3, "cpu_milli": 500}))
     harness.run(40_000)
-    assert harness.job(CRASHING).shown_state is JobState.FAILED
-    assert not harness.cell.losses.awaited_count
+    assert harness.job(CRASHING).visible_state is JobState.FAILED
+    assert not harness.cell.losses.unresolved_worker_count
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crashing_tasks.py
@@ -35,8 +35,8 @@
     """Assert that a crashing task ended its job within the starts it may have."""
     crashes = [crash for crash in harness.crashes if task in crash.tasks]
     assert len(crashes) >= 2  # one crash says nothing of a task
-    assert len(harness.starts_after_crashes(task, 3)) < TOO_MANY_STARTS
-    assert harness.job(job_id).shown_state is JobState.FAILED
+    assert len(harness.starts_after_nth_crash(task, 3)) < TOO_MANY_STARTS
+    assert harness.job(job_id).visible_state is JobState.FAILED
 
 
 SHAPES = {
@@ -56,12 +56,12 @@
 
 @pytest.mark.parametrize("shape", SHAPES)
 @pytest.mark.parametrize("after_ms", [5.0, 400.0])
-@pytest.mark.parametrize("back_after_ms", [900.0, 2_800.0, 12_000.0])
+@pytest.mark.parametrize("return_delay_ms", [900.0, 2_800.0, 12_000.0])
 def test_a_task_that_crashes_its_workers_is_given_up(
-    make_harness, shape, after_ms, back_after_ms
+    make_harness, shape, after_ms, return_delay_ms
 ):
     harness = make_harness(workers=12)
-    harness.back_after_ms = back_after_ms
+    harness.return_delay_ms = return_delay_ms
     harness.crashes_after_ms = crash_by(FIRST_TASK, after_ms=after_ms)
     harness.submit(CRASHING, job_spec(SHAPES[shape]))
     harness.run(60_000)
@@ -78,7 +78,7 @@
     harness.submit(CRASHING, job_spec(SHAPES[shape]))
     for _ in range(60_000 // owned_ms):
         harness.run(owned_ms)
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run(300)
         harness.take_over()
     harness.run(30_000)  # short ownerships learn little, so it takes three leases more
@@ -106,22 +106,26 @@
     harness.submit(CRASHING, job_spec(SHAPES["plain"]))
     for _ in range(6):
         harness.run(2_000)
-        harness.take_store_away(3_000)
+        harness.run_store_outage(3_000)
     harness.run(40_000)
     assert_given_up(harness, CRASHING, FIRST_TASK)
 
 
-@pytest.mark.parametrize("late_ms", [0.0, 2_500.0])
+@pytest.mark.parametrize("command_delay_ms", [0.0, 2_500.0])
 def test_a_task_that_crashes_its_workers_is_given_up_though_answers_are_lost(
-    make_harness, late_ms
+    make_harness, command_delay_ms
 ):
     harness = make_harness(workers=12)
     harness.crashes_after_ms = crash_by(FIRST_TASK, after_ms=0.0)
-    harness.mute = lambda effect: not late_ms  # the start is carried out
-    harness.late_ms = lambda effect: late_ms * isinstance(effect, StartRun)
+    harness.is_start_answer_lost = lambda effect: (
+        not command_delay_ms
+    )  # the start is carried out
+    harness.command_delay_ms = lambda effect: (
+        command_delay_ms * isinstance(effect, StartRun)
+    )
     harness.submit(CRASHING, job_spec(SHAPES["plain"]))
     harness.run(90_000)
-    if late_ms:  # what is forbidden in time is no start at all
-        assert len(harness.starts_after_crashes(FIRST_TASK, 3)) < TOO_MANY_STARTS
+    if command_delay_ms:  # what is forbidden in time is no start at all
+        assert len(harness.starts_after_nth_crash(FIRST_TASK, 3)) < TOO_MANY_STARTS
         return
     assert_given_up(harness, CRASHING, FIRST_TASK)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_shares_by_use.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_dominant_shares.py
@@ -107,7 +107,7 @@
 
 
 def fail_over(site):
-    site.harness.dead = True
+    site.harness.is_owner_down = True
     site.run(300)
     site.harness.take_over()
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_long_holds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_extended_leases.py
@@ -11,14 +11,17 @@
 
 from thymefork_cells.specs import Bounds
 from thymefork_cells.state import JobState
-from thymefork_cells.workers.long_holds import HOLD_KEY, LATE_MS
+from thymefork_cells.workers.extended_leases import (
+    EXTENDED_LEASE_KEY,
+    MAX_COMMAND_DELAY_MS,
+)
 
 from .harness import job_spec
-from .run_rules import twice_run
+from .run_invariants import tasks_run_twice
 
 JOB = "00000000000000aa"
 NEXT_JOB = "00000000000000bb"
-RECORD = f"{HOLD_KEY}w0"
+RECORD = f"{EXTENDED_LEASE_KEY}w0"
 
 
 ONE_EACH = {"count": 4, "cpu_milli": 8_000}
@@ -33,15 +36,15 @@
     fence = followed.fence(harness.epoch)
     deadline_clock_ms = followed.clock_ms(harness.now) + 3_000.0
     harness.restart(worker, away_ms=50.0)
-    while worker.cut:
+    while worker.is_unreachable:
         harness.run(1)
-    worker.look(fence, 0, deadline_clock_ms, harness.now)
+    worker.poll(fence, 0, deadline_clock_ms, harness.now)
     assert worker.lease_until_ms > harness.now + 5_000.0
     return worker
 
 
 def replace_owner(harness):
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(300)
     harness.take_over()
 
@@ -57,15 +60,15 @@
     harness.submit(NEXT_JOB, job_spec(ONE_EACH))
     while not worker.running:
         harness.run(1)
-    harness.cut_off(worker, for_ms=20_000.0)
+    harness.disconnect_worker(worker, for_ms=20_000.0)
     for _ in range(owners):
         replace_owner(harness)
         harness.run(1_000)
     harness.run(worker.lease_until_ms - harness.now - 100.0)
     assert harness.runs_of("w0")
     harness.run(60_000)
-    assert not twice_run(harness)
-    assert harness.job(NEXT_JOB).shown_state is JobState.SUCCEEDED
+    assert not tasks_run_twice(harness)
+    assert harness.job(NEXT_JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_nothing_starts_there_before_it_is_stored(make_harness):
@@ -82,9 +85,9 @@
 def test_it_is_stored_once_more_where_the_store_turned_it_away(make_harness):
     harness = make_harness(workers=1)
     restart_under_a_late_lease(harness)
-    harness.take_store_away(400.0)
+    harness.run_store_outage(400.0)
     assert RECORD not in harness.store
-    harness.list_workers(harness.entries)
+    harness.load_worker_list(harness.entries)
     harness.run(600)
     assert RECORD in harness.store
 
@@ -116,17 +119,18 @@
 
 
 @pytest.mark.parametrize(
-    ("leased_ms_ago", "is_counted"), [(0.0, True), (2_000.0, True), (LATE_MS, False)]
+    ("leased_ms_ago", "is_counted"),
+    [(0.0, True), (2_000.0, True), (MAX_COMMAND_DELAY_MS, False)],
 )
 def test_an_answered_look_after_a_lease_tells_nothing_of_it(
     make_harness, leased_ms_ago, is_counted
 ):
     """A lease without an answer may come late, after newer looks were answered."""
     harness = make_harness(workers=1)
-    harness.run(LATE_MS)
+    harness.run(MAX_COMMAND_DELAY_MS)
     followed = harness.cell.context.workers["w0"]
-    followed.leased_ms = harness.now - leased_ms_ago
-    followed.asked_ms = harness.now
+    followed.lease_sent_ms = harness.now - leased_ms_ago
+    followed.answered_poll_ms = harness.now
     (worker,) = harness.workers.values()
     harness.restart(worker, away_ms=50.0)
     harness.run(400)
@@ -144,5 +148,5 @@
     replace_owner(harness)
     harness.run(1_000)
     assert RECORD in harness.store
-    assert harness.job(NEXT_JOB).shown_state is JobState.SUCCEEDED
-    assert not twice_run(harness)
+    assert harness.job(NEXT_JOB).visible_state is JobState.SUCCEEDED
+    assert not tasks_run_twice(harness)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
@@ -5,8 +5,8 @@
 from thymefork_cells.effects import Outcome, StartRun
 from thymefork_cells.state import JobState
 
+from .command_transport import COMMAND_TIMEOUT_MS
 from .harness import job_spec
-from .order_carrier import SILENCE_MS
 
 JOB = "00000000000000aa"
 
@@ -25,12 +25,12 @@
 
 
 def test_an_unanswered_start_is_forbidden_before_the_next(harness):
-    harness.lose, lost = first_start()
+    harness.is_command_lost, lost = first_start()
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(2_500)
     worker = harness.workers[lost[0].worker.worker_id]
     assert worker.closed[f"{JOB}.0.0.0"] >= 1  # the late start would be refused
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_tasks_of_a_silent_worker_wait_for_the_end_of_its_lease(make_harness):
@@ -39,26 +39,26 @@
         worker.work_ms = 3_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 4_000}))
     harness.run(700)
-    cut = harness.workers["w0"]
-    cut.cut = True
-    tasks = [key[0] for key in cut.running]
+    is_unreachable = harness.workers["w0"]
+    is_unreachable.is_unreachable = True
+    tasks = [key[0] for key in is_unreachable.running]
     assert tasks
     harness.run(9_000)
-    cut.advance(harness.now)
+    is_unreachable.advance(harness.now)
     for task in tasks:
         again_ms = [at for owner, run, at in harness.starts_of(task) if owner == "w1"]
-        assert again_ms and again_ms[0] >= cut.lease_until_ms
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+        assert again_ms and again_ms[0] >= is_unreachable.lease_until_ms
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_successor_goes_on_with_what_runs(harness):
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 500}))
     harness.run(200)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(400)
     harness.take_over()
     harness.run(2_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     for index in range(4):
         assert len(harness.starts_of(f"{JOB}.0.0.{index}")) == 1
 
@@ -69,18 +69,18 @@
         worker.work_ms = 20_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 8_000}))
     harness.run(300)
-    harness.dead = True
-    cut = harness.workers["w0"]
-    cut.cut = True
-    task = next(iter(cut.running))[0]
+    harness.is_owner_down = True
+    is_unreachable = harness.workers["w0"]
+    is_unreachable.is_unreachable = True
+    task = next(iter(is_unreachable.running))[0]
     harness.run(1_000)
     harness.take_over()
     taken_over_ms = harness.now
     harness.run(3_500)
     assert len(harness.starts_of(task)) == 1
-    harness.workers["w1"].cut = False
+    harness.workers["w1"].is_unreachable = False
     harness.run(4_000)
-    harness.cell.roster.expire(harness.now)
+    harness.cell.registry.expire_leases(harness.now)
     assert not harness.cell.context.workers["w0"].runs
     assert harness.now - taken_over_ms < 10_000
 
@@ -88,20 +88,20 @@
 def test_an_end_before_a_takeover_is_not_run_again(harness):
     harness.submit(JOB, job_spec({"count": 2, "cpu_milli": 500}))
     harness.run(600)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(600)  # the tasks end while no owner looks
     harness.take_over()
     harness.run(1_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
 
 
 def test_a_task_that_stands_still_moves(make_harness):
     harness = make_harness(workers=2)
-    harness.workers["w0"].stands_still = True
+    harness.workers["w0"].is_stalled = True
     harness.submit(JOB, job_spec({"count": 2, "cpu_milli": 8_000}))
     harness.run(8_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_task_whose_progress_is_never_told_ends_all_the_same(make_harness):
@@ -112,7 +112,7 @@
         worker._percent = lambda run, now_ms: 50
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(25_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -121,7 +121,7 @@
 
     rng = random.Random(seed)
     harness = make_harness(workers=5)
-    harness.lose = lambda effect: rng.random() < 0.08
+    harness.is_command_lost = lambda effect: rng.random() < 0.08
     submitted = 0
     for _ in range(120):
         if rng.random() < 0.5:
@@ -133,22 +133,22 @@
             submitted += 1
         worker = rng.choice(list(harness.workers.values()))
         if rng.random() < 0.08:
-            worker.cut = not worker.cut
+            worker.is_unreachable = not worker.is_unreachable
         if rng.random() < 0.05:
-            harness.dead = True
+            harness.is_owner_down = True
             harness.run(rng.choice([20, 300, 1_200]))
             harness.take_over()
         for _ in range(10):
             harness.run(8)
             _assert_single(harness)
     for worker in harness.workers.values():
-        worker.cut = False
-    harness.lose = lambda effect: False
+        worker.is_unreachable = False
+    harness.is_command_lost = lambda effect: False
     harness.run(40_000)
     accepted = [r for r in harness.replies.values() if r.outcome is Outcome.ACCEPTED]
     assert accepted
     for reply in accepted:
-        assert harness.job(reply.request_id).shown_state is JobState.SUCCEEDED
+        assert harness.job(reply.request_id).visible_state is JobState.SUCCEEDED
 
 
 def _assert_single(harness):
@@ -173,7 +173,7 @@
     harness.workers["w0"].work_ms = 200.0
     harness.submit(JOB, job_spec({"count": 3, "cpu_milli": 500}))
     harness.run(5_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_worker_on_probation_gets_one_task_at_a_time(make_harness):
@@ -183,7 +183,7 @@
     harness.run(2_000)
     assert len(harness.workers["w0"].running) == 1
     harness.run(4_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_denied_worker_is_asked_about_again_while_a_step_waits(make_harness):
@@ -194,7 +194,7 @@
     harness.run(1_000)
     harness.allowed = lambda step, worker_id: True
     harness.run(9_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_good_end_that_is_heard_after_its_lease_counts(make_harness):
@@ -202,12 +202,12 @@
     harness = make_harness(workers=1)
     harness.submit(JOB, job_spec({"count": 2, "cpu_milli": 500}))
     harness.run(400)
-    harness.workers["w0"].cut = True
+    harness.workers["w0"].is_unreachable = True
     harness.run(6_000)
     assert not harness.cell.context.workers["w0"].runs  # the leases are over
-    harness.workers["w0"].cut = False
+    harness.workers["w0"].is_unreachable = False
     harness.run(2_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
 
 
@@ -217,13 +217,13 @@
     harness.run(200)
     first = next(w for w in harness.workers.values() if w.running)
     other = next(w for w in harness.workers.values() if w is not first)
-    first.cut = True
+    first.is_unreachable = True
     other.work_ms = 60_000.0
     harness.run(5_500)
     assert other.running
-    first.cut = False
+    first.is_unreachable = False
     harness.run(1_500)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert not other.running
 
 
@@ -232,11 +232,11 @@
     harness.workers["w0"].fails_all = True
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(75)
-    harness.workers["w0"].cut = True
+    harness.workers["w0"].is_unreachable = True
     harness.run(6_000)
-    harness.workers["w0"].cut = False
+    harness.workers["w0"].is_unreachable = False
     harness.run(3_000)
-    assert harness.job(JOB).shown_state is JobState.FAILED
+    assert harness.job(JOB).visible_state is JobState.FAILED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
 
 
@@ -255,42 +255,42 @@
 
 def test_a_run_whose_start_was_carried_out_unanswered_goes_on(harness):
     """From ferrecor-mvd, scale-2: each lost answer stopped a sound run."""
-    harness.mute, muted = first_start()
+    harness.is_start_answer_lost, muted = first_start()
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(2_500)
     assert muted
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_run_that_vanishes_after_an_answer_without_a_clock_is_started_again(
     make_harness,
 ):
     harness = make_harness(workers=1)
-    harness.blur, blurred = first_start()
+    harness.omits_worker_clock, blurred = first_start()
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(400)
     assert blurred
     harness.workers["w0"].running.clear()
     harness.run(4_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 2
 
 
 def test_an_unanswered_start_is_made_elsewhere_soon_after(harness):
-    harness.lose, lost = first_start()
+    harness.is_command_lost, lost = first_start()
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(2_500)
     _, _, again_ms = harness.starts_of(f"{JOB}.0.0.0")[0]
     # Silence is told by the harness; a look, a stop and a look follow it.
-    assert again_ms - lost[0].began_ms < SILENCE_MS + 80
+    assert again_ms - lost[0].began_ms < COMMAND_TIMEOUT_MS + 80
 
 
 def test_a_gang_whose_quick_members_wait_for_a_slow_one_is_let_be(make_harness):
     """From ferrecor-mvd-grown, quiet-1: gangs on unlike workers were stopped."""
     harness = make_harness(workers=2)
     for worker in harness.workers.values():
-        worker.waits_at_the_end = True
+        worker.stalls_at_completion = True
     gang = {"count": 2, "cpu_milli": 8_000, "estimated_ms": 500, "gang": True}
     harness.submit(JOB, job_spec(gang))
     harness.run(4_000)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
@@ -3,7 +3,7 @@
 The load: gangs of 2 to 12 tasks, several at once, some of them lasting, whose owner
 takes turns every 5 to 200 ms, stores within 10 to 400 ms and hears answers up to
 0.8 s late; stops take up to 0.9 s. A worker that waits in vain ends its run as
-`alone`: its room was held for nothing, and its caller waits for as long.
+`incomplete_gangs`: its room was held for nothing, and its caller waits for as long.
 
 The faults: starts that are refused, get no answer, are carried out late or lost.
 """
@@ -28,9 +28,9 @@
 
 def with_gangs(make_harness, *, workers=8, bounds=BOUNDS):
     harness = make_harness(workers=workers, max_attempts=20)
-    harness.judge_gangs(bounds=bounds)
+    harness.simulate_gangs(bounds=bounds)
     for worker in harness.workers.values():
-        worker.stop_takes_ms = bounds.stop_timeout_ms
+        worker.stop_duration_ms = bounds.stop_timeout_ms
     return harness
 
 
@@ -42,22 +42,22 @@
     """Return what befalls the first effect of a kind for a task of an index."""
     befallen = []
 
-    def befalls(effect):
+    def delivery_delays(effect):
         name = effect.run.key[0] if isinstance(effect, kind) else ""
         if befallen or not name.endswith(f".{index}"):
             return None
         befallen.append(name)
         return answer
 
-    return befalls
+    return delivery_delays
 
 
 def assert_whole_again(harness, jobs=(JOB,)):
     """Let gangs go on; each is to be done without a member that waited in vain."""
     harness.run(30_000)
-    assert not harness.gangs.alone
+    assert not harness.gangs.incomplete_gangs
     for job_id in jobs:
-        assert harness.job(job_id).shown_state is JobState.SUCCEEDED, job_id
+        assert harness.job(job_id).visible_state is JobState.SUCCEEDED, job_id
 
 
 # One member is missing -------------------------------------------------------------
@@ -70,10 +70,10 @@
 ):
     """The longer its tasks are, the longer standing still counts as usual for them."""
     harness = with_gangs(make_harness)
-    harness.refuse = only_first(StartRun, 2, refusal)
+    harness.refusal_for = only_first(StartRun, 2, refusal)
     harness.submit(JOB, gang(4, estimated_ms=estimated_ms))
     harness.run(BEGIN_AGAIN_BOUND_MS)
-    assert harness.gangs.begun
+    assert harness.gangs.started_gangs
     assert_whole_again(harness)
 
 
@@ -81,18 +81,20 @@
     harness = with_gangs(make_harness)
     for worker in harness.workers.values():
         worker.work_ms = 1e9
-    harness.refuse = only_first(StartRun, 1, Refusal.UNWELL)
+    harness.refusal_for = only_first(StartRun, 1, Refusal.UNWELL)
     harness.submit(JOB, gang(4, long_running=True))
     harness.run(20_000)
-    assert not harness.gangs.alone
+    assert not harness.gangs.incomplete_gangs
     assert len(harness.running()) == 4
 
 
-@pytest.mark.parametrize("late_ms", [400.0, 1_000.0, 2_500.0, 6_000.0])
-def test_a_member_whose_start_comes_late_keeps_none_waiting(make_harness, late_ms):
+@pytest.mark.parametrize("command_delay_ms", [400.0, 1_000.0, 2_500.0, 6_000.0])
+def test_a_member_whose_start_comes_late_keeps_none_waiting(
+    make_harness, command_delay_ms
+):
     harness = with_gangs(make_harness)
-    befalls = only_first(StartRun, 0, late_ms)
-    harness.late_ms = lambda effect: befalls(effect) or 0.0
+    delivery_delays = only_first(StartRun, 0, command_delay_ms)
+    harness.command_delay_ms = lambda effect: delivery_delays(effect) or 0.0
     harness.submit(JOB, gang(4, estimated_ms=300_000))
     assert_whole_again(harness)
 
@@ -102,32 +104,32 @@
     """What the starts rest on ends between the first one and the last."""
     harness = with_gangs(make_harness)
     left = []
-    may_start = harness.cell.orders.may_start
+    may_start = harness.cell.commands.may_start
 
     def change_midway(run, now_ms):
         if len(left) == 2 and cause == "list":
-            harness.cell.context.workers_known_ms = now_ms - 4_000.0
+            harness.cell.context.worker_list_as_of_ms = now_ms - 4_000.0
         if len(left) == 2 and cause == "worker":
             run.worker.is_over = True
         may = may_start(run, now_ms)
         run.worker.is_over = False
-        harness.cell.context.workers_known_ms = float("inf")
+        harness.cell.context.worker_list_as_of_ms = float("inf")
         left.append(may)
         return may
 
-    harness.cell.orders.may_start = change_midway
+    harness.cell.commands.may_start = change_midway
     harness.submit(JOB, gang(4, estimated_ms=300_000))
     assert_whole_again(harness)
 
 
-@pytest.mark.parametrize("standstills", [0, 1, 2])
-def test_a_gang_that_waits_is_not_held_against_its_workers(make_harness, standstills):
+@pytest.mark.parametrize("stalls", [0, 1, 2])
+def test_a_gang_that_waits_is_not_held_against_its_workers(make_harness, stalls):
     """Each time that it counted as standing still, the next time it waited longer."""
     harness = with_gangs(make_harness)
-    harness.refuse = only_first(StartRun, 2, Refusal.UNWELL)
+    harness.refusal_for = only_first(StartRun, 2, Refusal.UNWELL)
     harness.submit(JOB, gang(4))
     for task in harness.job(JOB).steps[0].tasks:
-        task.standstills = standstills
+        task.stalls = stalls
     assert_whole_again(harness)
     assert not any(note.event == "run_stands_still" for note in harness.notes)
 
@@ -135,11 +137,11 @@
 def test_a_gang_is_not_started_without_a_worker_that_fell_silent(make_harness):
     """One of its workers has fallen silent since its start was decided on."""
     harness = with_gangs(make_harness)
-    harness.append_ms = lambda: 600.0
+    harness.append_latency_ms = lambda: 600.0
     harness.submit(JOB, gang(8, estimated_ms=300_000))
     harness.run(50)
     chosen = harness.job(JOB).steps[0].tasks[3].runs[0].worker
-    harness.cut_off(harness.workers[chosen.worker_id], for_ms=2_000.0)
+    harness.disconnect_worker(harness.workers[chosen.worker_id], for_ms=2_000.0)
     harness.run(650)
     assert harness.counts["worker_silent"] == 1
     assert not harness.running()
@@ -151,12 +153,12 @@
     harness = with_gangs(make_harness)
     harness.submit(JOB, gang(4))
     harness.run(400)
-    assert harness.gangs.begun
+    assert harness.gangs.started_gangs
     worker = next(worker for worker in harness.workers.values() if worker.running)
     worker.end(next(iter(worker.running)), "failed")
     assert_whole_again(harness)
     assert not harness.counts["member_gone"]
-    assert len(harness.gangs.begun) == 2
+    assert len(harness.gangs.started_gangs) == 2
 
 
 # Under load, drawn at random -------------------------------------------------------
@@ -164,20 +166,24 @@
 
 def slow_owner(harness, rng):
     """Let turns, appends and answers take as long as under an overloaded owner."""
-    harness.turn_ms = lambda: rng.uniform(5.0, 200.0)
-    harness.append_ms = lambda: rng.choice((10.0, 155.0, 400.0))
-    harness.answer_ms = lambda effect: rng.uniform(0.0, 800.0)
-    harness.order_ms = lambda effect: rng.uniform(3.0, 150.0)
+    harness.cycle_interval_ms = lambda: rng.uniform(5.0, 200.0)
+    harness.append_latency_ms = lambda: rng.choice((10.0, 155.0, 400.0))
+    harness.answer_latency_ms = lambda effect: rng.uniform(0.0, 800.0)
+    harness.command_latency_ms = lambda effect: rng.uniform(3.0, 150.0)
 
 
 def some_starts_go_wrong(harness, rng):
-    harness.refuse = lambda effect: (
+    harness.refusal_for = lambda effect: (
         rng.choice(REFUSALS) if rng.random() < 0.05 else None
     )
-    harness.mute = lambda effect: rng.random() < 0.03
-    harness.lose = lambda effect: isinstance(effect, StartRun) and rng.random() < 0.03
-    harness.drop = lambda effect: isinstance(effect, StopRun) and rng.random() < 0.05
-    harness.late_ms = lambda effect: (
+    harness.is_start_answer_lost = lambda effect: rng.random() < 0.03
+    harness.is_command_lost = lambda effect: (
+        isinstance(effect, StartRun) and rng.random() < 0.03
+    )
+    harness.is_stop_dropped = lambda effect: (
+        isinstance(effect, StopRun) and rng.random() < 0.05
+    )
+    harness.command_delay_ms = lambda effect: (
         rng.uniform(300.0, 6_000.0)
         if isinstance(effect, StartRun) and rng.random() < 0.03
         else 0.0
@@ -199,9 +205,11 @@
         harness.run(rng.uniform(50.0, 1_500.0))
     harness.run(15_000)
     slow_owner(harness, random.Random(0))
-    harness.lose = harness.mute = harness.drop = lambda effect: False
-    harness.refuse = lambda effect: None
-    harness.late_ms = lambda effect: 0.0
+    harness.is_command_lost = harness.is_start_answer_lost = harness.is_stop_dropped = (
+        lambda effect: False
+    )
+    harness.refusal_for = lambda effect: None
+    harness.command_delay_ms = lambda effect: 0.0
     assert_whole_again(harness, jobs)
 
 
@@ -212,10 +220,10 @@
 def test_a_new_owner_stops_what_is_left_of_a_gang(make_harness, after_ms):
     """Its predecessor ended while some of the starts were lost."""
     harness = with_gangs(make_harness)
-    harness.lose = only_first(StartRun, 3, True)
+    harness.is_command_lost = only_first(StartRun, 3, True)
     harness.submit(JOB, gang(6, estimated_ms=300_000))
     harness.run(after_ms)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(300)
     harness.take_over()
     assert_whole_again(harness)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_uneven_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
@@ -15,7 +15,7 @@
 from thymefork_cells.estimates import LearnedSpeed
 
 from .harness import job_spec
-from .uneven_site import FAST, UnevenSite
+from .heterogeneous_site import FAST, HeterogeneousSite
 
 SEEDS = (1, 2, 3, 4)
 SMALL_GAP_MS = 133.0
@@ -25,7 +25,7 @@
 SETTLE_MS = 15_000.0
 
 
-class WatchedSite(UnevenSite):
+class WatchedSite(HeterogeneousSite):
     """Note of each start whether a fast worker had room, and which worker it got."""
 
     def __init__(self, **fields):
@@ -44,7 +44,7 @@
             if self.is_fast(worker.worker_id)
         ]
         had_room = any(
-            worker.has_room(run.step) or worker is run.worker for worker in fast
+            worker.has_capacity(run.step) or worker is run.worker for worker in fast
         )
         is_fast = self.is_fast(run.worker.worker_id)
         job = run.task.step.job
@@ -83,7 +83,7 @@
     sent = set(site.load(LOAD_MS, small=SMALL_GAP_MS))
     site.run(SETTLE_MS)
     assert site.share_on_fast(sent) >= 0.9
-    assert site.share_in_time(sent) >= 0.9
+    assert site.fraction_on_time(sent) >= 0.9
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -95,20 +95,20 @@
     unaware = WatchedSite(seed=seed)
     never_learn(unaware)
     small_then, batch_then = mixed(unaware)
-    assert site.share_in_time(small) >= unaware.share_in_time(small_then)
-    assert site.share_in_time(batch) >= unaware.share_in_time(batch_then) - 0.05
+    assert site.fraction_on_time(small) >= unaware.fraction_on_time(small_then)
+    assert site.fraction_on_time(batch) >= unaware.fraction_on_time(batch_then) - 0.05
 
 
 def test_alike_workers_are_chosen_as_without_speeds():
     """Where all are alike, each task goes where it would go if nothing was learned."""
     starts = []
     for learns in (True, False):
-        site = UnevenSite(seed=5, slownesses=(1.0,))
+        site = HeterogeneousSite(seed=5, slownesses=(1.0,))
         if not learns:
             never_learn(site)
         site.load(LOAD_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
         starts.append({name: w.starts for name, w in site.workers.items()})
-        assert not site.cell.speeds.is_uneven
+        assert not site.cell.speeds.is_heterogeneous
     assert starts[0] == starts[1]
 
 
@@ -121,9 +121,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_slow_sound_workers_are_not_sick(seed):
     """What is moved from them has a long tail, and does not just take its time."""
-    site = UnevenSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     mixed(site)
-    unaware = UnevenSite(seed=seed)
+    unaware = HeterogeneousSite(seed=seed)
     never_learn(unaware)
     mixed(unaware)
     assert 3 * moved_from_slow(site) < moved_from_slow(unaware)
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_workers_that_are_slow_for_a_while_are_paused_and_not_remembered_so(seed):
-    site = UnevenSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     slowed = [name for name in site.workers if site.is_fast(name)][:4]
     followed = [site.cell.context.workers[name] for name in slowed]
@@ -162,31 +162,31 @@
     site = WatchedSite(seed=7)
     site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     fast = {f"m-{name}" for name in site.workers if site.is_fast(name)}
-    assert len(fast & site.told_speeds.keys()) >= 6
+    assert len(fast & site.announced_speeds.keys()) >= 6
     if not is_told:
-        site.told_speeds.clear()
-    site.dead = True
+        site.announced_speeds.clear()
+    site.is_owner_down = True
     site.run(500)
     site.take_over()
-    assert site.cell.speeds.is_uneven is is_told
+    assert site.cell.speeds.is_heterogeneous is is_told
     site.run(1_500)
     first = set(site.load(3_000.0, small=SMALL_GAP_MS))
     if is_told:
         assert site.share_on_fast(first) >= 0.85
     site.load(2 * LEARN_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    assert site.cell.speeds.is_uneven
+    assert site.cell.speeds.is_heterogeneous
     later = set(site.load(8_000.0, small=SMALL_GAP_MS))
     assert site.share_on_fast(later) >= 0.75
 
 
 def test_a_cell_takes_its_turns_when_all_workers_are_gone():
-    site = UnevenSite(seed=7)
+    site = HeterogeneousSite(seed=7)
     site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    assert site.cell.speeds.is_uneven
+    assert site.cell.speeds.is_heterogeneous
     site.run(30_000.0)
-    site.change_list([])
+    site.publish_worker_list([])
     for worker in site.workers.values():
-        worker.cut = True
+        worker.is_unreachable = True
     site.run(60_000.0)
     assert not site.cell.context.workers
 
@@ -201,7 +201,7 @@
 
 
 def test_a_worker_that_starts_again_under_its_id_keeps_its_speed():
-    site = UnevenSite(seed=8)
+    site = HeterogeneousSite(seed=8)
     site.load(8_000.0, small=SMALL_GAP_MS)
     name = next(name for name in site.workers if site.is_fast(name))
     before = site.cell.context.workers[name].slowness
@@ -218,13 +218,15 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_machine_that_is_far_slower_for_good_attracts_no_work(seed):
     """As it was told by an owner before; others have room at this load."""
-    site = UnevenSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     sick = next(name for name in site.workers if not site.is_fast(name))
     machine = f"m-{sick}"
     site.workers[sick].slow_factor = 15.0
-    site.told_speeds[machine] = LearnedSpeed(machine=machine, log_slowness=log(15.0))
-    site.dead = True
+    site.announced_speeds[machine] = LearnedSpeed(
+        machine=machine, log_slowness=log(15.0)
+    )
+    site.is_owner_down = True
     site.run(500)
     site.take_over()
     site.run(1_500)
@@ -239,7 +241,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_gang_with_a_tight_objective_takes_fast_members_alone(seed):
     """It ends with its slowest member."""
-    site = UnevenSite(seed=seed)
+    site = HeterogeneousSite(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(10_000.0)
     step = {
@@ -259,7 +261,7 @@
 
 def test_members_of_a_gang_are_judged_alike_in_whatever_order_they_end():
     """All end with the slowest, so the time of each is the slowest one's."""
-    site = UnevenSite(seed=1)
+    site = HeterogeneousSite(seed=1)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(10_000.0)
     step = {
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_callers_who_leave.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
@@ -75,7 +75,7 @@
     without, stayed, _ = play(make_harness, seed, leavers=0)
     harness, _, left_ms = play(make_harness, seed)
     assert len(left_ms) >= LEAVERS // 2
-    assert all(harness.job(j).shown_state is JobState.SUCCEEDED for j in stayed)
+    assert all(harness.job(j).visible_state is JobState.SUCCEEDED for j in stayed)
     times = median(end_of(harness, job_id) for job_id in stayed)
     assert times < 0.85 * median(end_of(without, job_id) for job_id in stayed)
 
@@ -91,16 +91,18 @@
     ]
     # A start that had left before takes 3 ms.
     assert all(after_ms <= 3.0 for _, after_ms in late)
-    assert not harness.cell.context.owed_stops
+    assert not harness.cell.context.pending_stops
 
 
-@pytest.mark.parametrize("append_ms", [10.0, SLOW_APPEND_MS])
-def test_room_of_a_cancelled_job_is_free_soon(make_harness, monkeypatch, append_ms):
-    monkeypatch.setattr(harness_module, "APPEND_MS", append_ms)
+@pytest.mark.parametrize("append_latency_ms", [10.0, SLOW_APPEND_MS])
+def test_room_of_a_cancelled_job_is_free_soon(
+    make_harness, monkeypatch, append_latency_ms
+):
+    monkeypatch.setattr(harness_module, "APPEND_MS", append_latency_ms)
     harness = make_harness(workers=1)
     harness.workers["w0"].work_ms = 60_000.0
     harness.submit(LEAVES, job_spec({"count": 4, "cpu_milli": 2_000}))
-    harness.run(3 * append_ms + 50)
+    harness.run(3 * append_latency_ms + 50)
     assert len(harness.running()) == 4
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(FREED_MS)
@@ -137,7 +139,7 @@
     harness.run(5_000)
     steps = {step.split(".")[0] for step, _ in harness.asked[asked:]}
     assert not steps & set(ids[1:-1])
-    assert harness.job(ids[-1]).shown_state is JobState.SUCCEEDED
+    assert harness.job(ids[-1]).visible_state is JobState.SUCCEEDED
 
 
 def test_workers_kept_for_a_step_are_given_back_in_the_next_turn(make_harness):
@@ -149,10 +151,10 @@
     gang = {"count": 2, "cpu_milli": 8_000, "gang": True, "estimated_ms": 400}
     harness.submit(LEAVES, job_spec(gang))
     harness.run(2_600)
-    assert harness.cell.placer._reservations._kept
+    assert harness.cell.placer._reservations._by_step
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(6)
-    assert not harness.cell.placer._reservations._kept
+    assert not harness.cell.placer._reservations._by_step
 
 
 def test_live_work_does_not_make_way_beside_room_that_comes_free(make_harness):
@@ -168,14 +170,14 @@
     workers = [w for w in harness.workers.values() if w.running]
     assert len(workers) == 2 and all(len(w.running) == 4 for w in workers)
     harness.run(1_000)
-    harness.lose = lambda effect: isinstance(effect, fx.StopRun)
+    harness.is_command_lost = lambda effect: isinstance(effect, fx.StopRun)
     urgent = id_of(3)
     harness.submit(
         urgent, job_spec({"count": 4, "cpu_milli": 2_000, "estimated_ms": 800})
     )
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(300)
-    harness.lose = lambda effect: False
+    harness.is_command_lost = lambda effect: False
     harness.run(600)
     assert harness.counts["made_way"] == 0
     assert len(harness.job(urgent).runs) == 4
@@ -194,7 +196,7 @@
 def stops_of(harness, now_ms):
     """Return the jobs of the stops that a turn sends, in their order."""
     harness.cell.take_effects()
-    harness.cell.orders.send_stops(now_ms)
+    harness.cell.commands.send_stops(now_ms)
     effects = harness.cell.take_effects()
     stops = [effect.run for effect in effects if isinstance(effect, fx.StopRun)]
     return [run.task.step.job.job_id for run in stops]
@@ -237,16 +239,16 @@
     """The cancelling was stored; the order to stop was lost with the owner."""
     harness = make_harness(workers=2)
     start_batch(harness, LEAVES)
-    harness.drop = lambda effect: isinstance(effect, fx.StopRun)
+    harness.is_stop_dropped = lambda effect: isinstance(effect, fx.StopRun)
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(30)
     assert harness.replies["cancel"].outcome is Outcome.CANCELLED
-    harness.drop = lambda effect: False
+    harness.is_stop_dropped = lambda effect: False
     assert len(harness.running()) == 4
     harness.take_over()
     harness.run(GONE_MS)
     assert not harness.running()
-    assert harness.job(LEAVES).shown_state is JobState.CANCELLED
+    assert harness.job(LEAVES).visible_state is JobState.CANCELLED
 
 
 def test_a_cancelling_that_was_not_stored_leaves_a_job_that_runs(make_harness):
@@ -255,7 +257,7 @@
     start_batch(harness, LEAVES)
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(7)  # the stops have left, the append is under way
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(20)
     assert "cancel" not in harness.replies
     harness.take_over()
@@ -280,7 +282,7 @@
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(80 + dies_after_ms)
     assert harness.replies["cancel"].outcome is Outcome.CANCELLED
-    harness.dead = True
+    harness.is_owner_down = True
     harness.run(30)
     harness.take_over()
     harness.run(2_000)
@@ -293,13 +295,13 @@
     start_batch(harness, LEAVES)
     lost = []
 
-    def lose(effect):
+    def is_command_lost(effect):
         if not isinstance(effect, fx.StopRun) or len(lost) == 4:
             return False
         lost.append(effect)
         return True
 
-    harness.lose = lose
+    harness.is_command_lost = is_command_lost
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(GONE_MS)
     assert len(lost) == 4
@@ -311,7 +313,7 @@
     harness = make_harness(workers=2)
     start_batch(harness, LEAVES, tasks=8)
     away = harness.workers["w0"]
-    away.cut = True
+    away.is_unreachable = True
     harness.cell.intake.cancel("cancel", LEAVES, now_ms=harness.now)
     harness.run(FREED_MS)
     assert not harness.runs_of("w1")
@@ -319,12 +321,12 @@
     harness.workers["w1"].work_ms = 300.0
     harness.submit(STAYS, job_spec({"count": 4, "cpu_milli": 2_000}))
     harness.run(1_000)
-    assert harness.job(STAYS).shown_state is JobState.SUCCEEDED
+    assert harness.job(STAYS).visible_state is JobState.SUCCEEDED
     harness.run(4_000)
     away.advance(harness.now)
     assert not away.running
     assert not harness.runs_of("w0")
-    assert not harness.cell.context.owed_stops
+    assert not harness.cell.context.pending_stops
 
 
 def test_a_job_given_up_before_any_append_held_it_leaves_nothing(
@@ -338,10 +340,10 @@
     harness.run(20)
     assert len(harness.runs_of("w0")) == 4
     for job_id in (STAYS, LEAVES):  # the first is in the append under way
-        harness.cell.intake.give_up(job_id, now_ms=harness.now)
+        harness.cell.intake.abandon(job_id, now_ms=harness.now)
     assert len(harness.runs_of("w0")) == 1
     harness.run(10 * SLOW_APPEND_MS)
     assert harness.replies[LEAVES].outcome is Outcome.REFUSED
     assert not harness.starts_of(f"{LEAVES}.0.0.0")
     assert not any(LEAVES in key for key in harness.store)
-    assert harness.job(STAYS).shown_state is JobState.SUCCEEDED
+    assert harness.job(STAYS).visible_state is JobState.SUCCEEDED
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_jobs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_jobs.py
@@ -23,7 +23,7 @@
     )
     harness.submit(JOB, spec)
     harness.run(3_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     first_ends_ms = (
         max(harness.starts_of(f"{JOB}.0.0.{n}")[0][2] for n in range(3)) + 800
     )
@@ -45,7 +45,7 @@
     for _ in range(600):
         harness.run(5)
         assert len(harness.workers["w0"].running) <= 2
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_cancelled_job_stops_and_starts_nothing(harness):
@@ -63,7 +63,7 @@
         worker.fails_all = True
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(12_000)
-    assert harness.job(JOB).shown_state is JobState.FAILED
+    assert harness.job(JOB).visible_state is JobState.FAILED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 2
 
 
@@ -74,7 +74,7 @@
         harness.submit(f"{number:016x}", job_spec({"count": 2, "cpu_milli": 3_000}))
         harness.run(700)
     harness.run(4_000)
-    states = {job.shown_state for job in harness.cell.context.jobs.values()}
+    states = {job.visible_state for job in harness.cell.context.jobs.values()}
     assert states == {JobState.SUCCEEDED}
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_journal.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_journal.py
@@ -92,7 +92,7 @@
     harness.run(1_000)
     assert harness.replies["cancel"].outcome is Outcome.CANCELLED
     harness.take_over()
-    assert harness.job(LASTING).shown_state is JobState.CANCELLED
+    assert harness.job(LASTING).visible_state is JobState.CANCELLED
 
 
 def test_a_loan_goes_before_all_runs_though_more_waits_than_an_append_carries(harness):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from thymefork_cells.specs import PARTS_PER_CELL, LimitParts, RoomLimit
+from thymefork_cells.specs import PARTS_PER_CELL, LimitParts, ResourceLimit
 
 from .cell_group import CellGroup
 from .harness import job_spec
@@ -43,14 +43,14 @@
     group.run(SOON_MS)
     assert group.cpu_running() >= 0.8 * LIMIT_CPU_MILLI
     group.run(2_000)
-    assert group.most_cpu_milli <= LIMIT_CPU_MILLI and not group.breaches
+    assert group.max_cpu_milli <= LIMIT_CPU_MILLI and not group.violations
 
 
 def test_a_gang_as_wide_as_the_limit_starts_whole_in_any_cell(group):
     gang = {"cpu_milli": 5_000, "count": 10, "gang": True, "estimated_ms": 400}
     submit(group, 3, 1, gang)
     group.run(400)
-    assert group.most_cpu_milli == LIMIT_CPU_MILLI and not group.breaches
+    assert group.max_cpu_milli == LIMIT_CPU_MILLI and not group.violations
 
 
 def test_idle_parts_come_back_by_themselves(group):
@@ -69,7 +69,7 @@
     submit(group, 2, 100, {**TASK, "count": 40})
     group.run(1_000)
     assert group.cpu_running(2) >= 0.8 * LIMIT_CPU_MILLI / CELLS
-    assert not group.breaches
+    assert not group.violations
 
 
 def test_two_gangs_of_more_than_half_do_not_wait_for_each_other(group):
@@ -78,7 +78,7 @@
         submit(group, cell, cell, gang)
     group.run(6_000)
     states = [state(group, cell, cell) for cell in range(CELLS)]
-    assert states == ["succeeded"] * CELLS and not group.breaches
+    assert states == ["succeeded"] * CELLS and not group.violations
 
 
 def test_a_job_in_each_cell_runs_though_one_cell_has_a_flood(group):
@@ -89,7 +89,7 @@
         submit(group, cell, 100 + cell, {**TASK, "count": 2})
     group.run(2_500)
     states = {state(group, cell, 100 + cell) for cell in range(1, CELLS)}
-    assert states == {"succeeded"} and not group.breaches
+    assert states == {"succeeded"} and not group.violations
 
 
 def time_of_uneven_work(cells):
@@ -99,7 +99,7 @@
         submit(group, 0 if number < 7 else cells - 1, number, {**TASK, "count": 25})
     while any(harness.cell.context.live_jobs for harness in group.cells):
         group.run(50)
-    assert not group.breaches
+    assert not group.violations
     return group.now
 
 
@@ -109,10 +109,10 @@
 
 def test_an_accelerator_that_no_part_holds_can_be_used():
     """Of three accelerators no cell among five has a whole one."""
-    limit = RoomLimit(accelerators=3)
+    limit = ResourceLimit(accelerators=3)
     whole = CELLS * PARTS_PER_CELL
     assert limit.part(LimitParts.all_of(PARTS_PER_CELL), whole).accelerators == -1
-    one = LimitParts.of_room(RoomLimit(accelerators=1), limit, whole)
+    one = LimitParts.from_resources(ResourceLimit(accelerators=1), limit, whole)
     assert limit.part(one, whole).accelerators == 1
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts_in_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_limit_parts_under_faults.py
@@ -9,7 +9,7 @@
 import pytest
 
 from thymefork_cells import effects as fx
-from thymefork_cells.accounts.quotas import UNKNOWN_ACCOUNT_MS
+from thymefork_cells.accounts.quotas import UNKNOWN_ACCOUNT_TIMEOUT_MS
 
 from .cell_group import CellGroup
 from .harness import job_spec
@@ -17,7 +17,7 @@
 
 SEEDS = 60
 # A version may be in force for so long after the next one, on the slowest sites.
-APPLIED_MS = UNKNOWN_ACCOUNT_MS
+APPLIED_MS = UNKNOWN_ACCOUNT_TIMEOUT_MS
 # A job with room stands still for no longer; callers count on 3 s.
 MOST_STILL_MS = 3_000.0
 
@@ -49,7 +49,7 @@
     group.run(500)
     fill_others(group)
     group.run(5_000)
-    assert not group.breaches
+    assert not group.violations
 
 
 @pytest.mark.parametrize("died_after_ms", [10, 20, 30, 50, 100, 1_000, 2_700, 3_000])
@@ -59,7 +59,7 @@
     group.kill(1, for_ms=300)
     fill_others(group)
     group.run(8_000)
-    assert not group.breaches
+    assert not group.violations
     group.run(12_000)
     assert not any(harness.cell.context.live_jobs for harness in group.cells)
 
@@ -75,11 +75,11 @@
 def test_a_cut_between_owners_takes_nothing_but_what_was_lent(group):
     fill(group)
     group.run(100)
-    group.is_cut = lambda one, other: True
+    group.is_link_down = lambda one, other: True
     fill_others(group)
     group.run(4_000)
-    assert not group.breaches
-    group.is_cut = lambda one, other: False
+    assert not group.violations
+    group.is_link_down = lambda one, other: False
     group.run(15_000)
     assert not any(harness.cell.context.live_jobs for harness in group.cells)
     group.run(5_000)
@@ -93,7 +93,7 @@
     group.set_limit(20_000)
     fill_others(group)
     group.run(15_000)
-    assert not group.breaches
+    assert not group.violations
 
 
 def test_nothing_starts_beside_what_runs_on_over_a_lowered_limit(group):
@@ -105,7 +105,7 @@
     group.run(300)
     group.set_limit(30_000)
     group.run(5_000)
-    assert not group.breaches
+    assert not group.violations
     group.run(15_000)
     assert not any(harness.cell.context.live_jobs for harness in group.cells)
 
@@ -121,12 +121,12 @@
 def test_a_grant_that_comes_again_after_its_parts_went_back_is_passed_over(group):
     grants = []
 
-    def befalls(message):
+    def delivery_delays(message):
         if isinstance(message, fx.GrantParts) and message.number:
             grants.append(message)
         return [2.0]
 
-    group.befalls = befalls
+    group.delivery_delays = delivery_delays
     submit(group, 1, 1, {**TASK, "count": 24, "estimated_ms": 300})
     group.run(3_000)
     borrower = group.cells[1].cell
@@ -139,7 +139,7 @@
 def test_a_grant_to_an_owner_counts_for_no_other_one_of_its_cell(group):
     """It may come after that owner has given its parts back and died."""
     grants = []
-    group.befalls = lambda message: grants.append(message) or [2.0]
+    group.delivery_delays = lambda message: grants.append(message) or [2.0]
     submit(group, 1, 1, {**TASK, "count": 24, "estimated_ms": 300})
     group.run(2_000)
     assert parts_held(group) == [1_000_000] * CELLS
@@ -154,7 +154,7 @@
 def chance_of_faults(rng):
     """Return what befalls messages: most come at once, some late, twice or never."""
 
-    def befalls(message):
+    def delivery_delays(message):
         kind = rng.random()
         if kind < 0.1:
             return []
@@ -164,7 +164,7 @@
             return [rng.uniform(1, 20), rng.uniform(1, 3_000)]
         return [rng.uniform(1, 10)]
 
-    return befalls
+    return delivery_delays
 
 
 def random_job(rng):
@@ -185,13 +185,13 @@
     group = CellGroup(cells=cells, limit_cpu_milli=30_000, workers=3)
     group.run(60)
     group.applied_ms = APPLIED_MS
-    group.befalls = chance_of_faults(rng)
+    group.delivery_delays = chance_of_faults(rng)
     until_ms = group.now + faults_ms
     number = 0
     while group.now < until_ms:
         cell = 0 if rng.random() < 0.6 else rng.randrange(cells)
         harness = group.cells[cell]
-        if not harness.dead:
+        if not harness.is_owner_down:
             number += 1
             harness.submit(f"{number:016x}", random_job(rng), account_name="a")
         if rng.random() < 0.15:
@@ -203,11 +203,13 @@
 def _disturb(group, rng, kinds):
     kind = rng.choice(kinds)
     cell = rng.randrange(len(group.cells))
-    if kind == "kill" and not group.cells[cell].dead:
+    if kind == "kill" and not group.cells[cell].is_owner_down:
         group.kill(cell, for_ms=rng.randint(50, 800))
     elif kind == "cut":
         until_ms = group.now + rng.randint(100, 2_000)
-        group.is_cut = lambda one, other: cell in (one, other) and group.now < until_ms
+        group.is_link_down = lambda one, other: (
+            cell in (one, other) and group.now < until_ms
+        )
     elif kind == "limit":
         group.set_limit(rng.choice([24_000, 30_000, 40_000]))
     elif kind == "one_limit":
@@ -216,11 +218,11 @@
 
 def finish(group):
     """Let all faults be over; tell whether all is done in the end."""
-    group.befalls = lambda message: [2.0]
-    group.is_cut = lambda one, other: False
+    group.delivery_delays = lambda message: [2.0]
+    group.is_link_down = lambda one, other: False
     group.run(1_500)
-    group.still.clear()
-    group.longest_still_ms = 0.0
+    group.stalled_since.clear()
+    group.longest_stall_ms = 0.0
     for _ in range(40):
         group.run(500)
         if not any(harness.cell.context.live_jobs for harness in group.cells):
@@ -232,8 +234,8 @@
 def test_owners_and_links_fail_at_random(seed):
     group = play(seed, faults_ms=2_500, kinds=["kill", "cut"])
     assert finish(group)
-    assert not group.breaches
-    assert group.longest_still_ms <= MOST_STILL_MS
+    assert not group.violations
+    assert group.longest_stall_ms <= MOST_STILL_MS
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
@@ -242,5 +244,5 @@
     group = play(seed, faults_ms=2_500, kinds=["kill", "cut", "limit", "one_limit"])
     group.set_limit(24_000)
     assert finish(group)
-    assert not group.breaches
-    assert group.longest_still_ms <= MOST_STILL_MS
+    assert not group.violations
+    assert group.longest_stall_ms <= MOST_STILL_MS
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_put_off.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_load_shedding.py
@@ -20,34 +20,34 @@
 def test_ends_are_acknowledged_to_idle_workers_once_there_is_time(make_harness):
     harness = make_harness(workers=1)
     context = harness.cell.context
-    context.delays_idle_looks = True
+    context.defers_idle_polls = True
     harness.submit(JOB, job_spec(STEP))
     harness.run(3_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     (worker,) = context.workers.values()
-    assert worker.stored_end > worker.told_end
-    context.delays_idle_looks = False
+    assert worker.stored_end > worker.acknowledged_end
+    context.defers_idle_polls = False
     harness.run(500)
-    assert worker.stored_end == worker.told_end
+    assert worker.stored_end == worker.acknowledged_end
 
 
 def test_workers_with_runs_are_looked_at_and_keep_their_leases(make_harness):
     harness = make_harness(workers=1)
-    harness.cell.context.delays_idle_looks = True
+    harness.cell.context.defers_idle_polls = True
     for worker in harness.workers.values():
         worker.work_ms = 10_000  # three leases
     harness.submit(JOB, job_spec(STEP))
     harness.run(12_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
 
 
 def test_advice_is_asked_for_once_a_step_s_turn_has_come(make_harness):
     harness = make_harness(workers=2, advice=POLICY)
-    harness.cell.context.delays_early_advice = True
+    harness.cell.context.defers_early_advice = True
     harness.submit(JOB, two_steps())
     harness.run(4_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     first_ms = harness.starts_of(f"{JOB}.0.0.0")[0][2]
     second_ms = harness.starts_of(f"{JOB}.0.1.0")[0][2]
     assert 800 + 100 <= second_ms - first_ms < 800 + 100 + 300
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_pacing.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_pacing.py
@@ -30,7 +30,7 @@
 
 
 def pace(harness):
-    return harness.workers["w0"].paces[f"{FILLER}.0.0.0", 1]
+    return harness.workers["w0"].pace_percents[f"{FILLER}.0.0.0", 1]
 
 
 def disturb(harness, tail_ms):
@@ -54,7 +54,7 @@
         lost.append(effect)
         return True
 
-    harness.lose = is_first
+    harness.is_command_lost = is_first
     disturb(harness, 2 * TARGET_MS)
     assert lost
     assert pace(harness) == 0
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_pending_counts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_pending_counts.py
@@ -28,7 +28,7 @@
 
 
 def lose_starts(harness):
-    harness.lose = lambda effect: isinstance(effect, StartRun)
+    harness.is_command_lost = lambda effect: isinstance(effect, StartRun)
 
 
 def test_jobs_whose_starts_reach_no_worker_are_counted(make_harness):
@@ -63,7 +63,7 @@
         lose_starts(harness)
     submit_all(harness)
     harness.run(200)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.take_over()
     harness.run(300)
     assert pending(harness) == (0 if reaches else len(JOBS))
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_preemption.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_preemption.py
@@ -23,9 +23,9 @@
     fill(harness, checkpoints=True)
     harness.submit(JOB, job_spec(URGENT))
     harness.run(1_200)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     harness.run(15_000)
-    assert harness.job(BATCH).shown_state is JobState.SUCCEEDED
+    assert harness.job(BATCH).visible_state is JobState.SUCCEEDED
 
 
 def test_work_that_would_lose_its_progress_is_let_be(make_harness):
@@ -66,7 +66,7 @@
     fill_accelerators(harness, 8)
     harness.submit(JOB, job_spec(WHOLE_WORKER))
     harness.run(2_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
     assert harness.counts["made_way"] == 4
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crashes_at_random.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_random_crashes.py
@@ -6,10 +6,10 @@
 
 from thymefork_cells.effects import StartRun
 from thymefork_cells.state import JobState
-from thymefork_cells.workers.worker_losses import MOST_LOSSES
+from thymefork_cells.workers.worker_losses import MAX_LOSSES
 
 from .harness import Harness, job_spec
-from .test_trials import THREE_HALLS, crash_by, reachable, set_work_ms
+from .test_crash_isolation import THREE_HALLS, crash_by, reachable, set_work_ms
 
 
 @pytest.mark.parametrize("seed", range(16))
@@ -25,17 +25,19 @@
         _disturb(harness, rng)
         harness.run(rng.uniform(200, 2_000))
     for worker in harness.workers.values():
-        worker.cut = worker.cut and worker.worker_id in _crashed(harness)
-    harness.mute = lambda effect: False
+        worker.is_unreachable = worker.is_unreachable and worker.worker_id in _crashed(
+            harness
+        )
+    harness.is_start_answer_lost = lambda effect: False
     harness.run(60_000)
     for job_id in bad:
         task = f"{job_id}.0.0.0"
-        assert len(harness.starts_after_crashes(task, 3)) < 3, seed
-        assert harness.job(job_id).shown_state is JobState.FAILED, seed
+        assert len(harness.starts_after_nth_crash(task, 3)) < 3, seed
+        assert harness.job(job_id).visible_state is JobState.FAILED, seed
     for job_id in good:
-        assert harness.job(job_id).shown_state is JobState.SUCCEEDED, seed
+        assert harness.job(job_id).visible_state is JobState.SUCCEEDED, seed
     for job_id in lasting:
-        assert harness.job(job_id).shown_state is JobState.RUNNING, seed
+        assert harness.job(job_id).visible_state is JobState.RUNNING, seed
 
 
 def _crashed(harness):
@@ -68,19 +70,21 @@
     """Do one of the things that go wrong beside tasks that crash their workers."""
     kind = rng.choice(("owner", "crash", "cut", "heal", "mute", "nothing"))
     if kind == "owner":
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run(300)
         harness.take_over()
-    elif kind == "crash" and len(harness.crashes) < MOST_LOSSES:
+    elif kind == "crash" and len(harness.crashes) < MAX_LOSSES:
         harness.crash(rng.choice(reachable(harness)))
     elif kind == "cut" and len(reachable(harness)) > 12:
-        rng.choice(reachable(harness)).cut = True
+        rng.choice(reachable(harness)).is_unreachable = True
     elif kind == "heal":
         for worker in harness.workers.values():
-            worker.cut = worker.cut and worker.worker_id in _crashed(harness)
+            worker.is_unreachable = (
+                worker.is_unreachable and worker.worker_id in _crashed(harness)
+            )
     elif kind == "mute":
         share = rng.choice((0.0, 0.2))
-        harness.mute = lambda effect: (
+        harness.is_start_answer_lost = lambda effect: (
             isinstance(effect, StartRun) and rng.random() < share
         )
 
@@ -100,7 +104,7 @@
         for worker in rng.sample(reachable(harness), 6):
             harness.crash(worker)
     harness.run(40_000)
-    return [harness.job(job_id).shown_state for job_id in jobs]
+    return [harness.job(job_id).visible_state for job_id in jobs]
 
 
 @pytest.mark.parametrize(
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_ends_heard_in_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
@@ -20,8 +20,8 @@
 
 from thymefork_cells.state import JobState
 
+from .command_transport import COMMAND_TIMEOUT_MS
 from .harness import job_spec
-from .order_carrier import SILENCE_MS
 
 JOB = "00000000000000aa"
 # A job that could run stands still for less than this long once all is back.
@@ -34,7 +34,7 @@
 
 def say_that_they_leave(harness, worker_ids, leaves_in_ms):
     """Let workers write that they leave, before the store is away."""
-    harness.list_workers(
+    harness.load_worker_list(
         [
             evolve(entry, draining=True, leaves_in_ms=leaves_in_ms)
             if entry.worker_id in worker_ids
@@ -58,7 +58,7 @@
         unheard |= {task for task, _ in worker.running}
         struck |= {task.split(".")[0] for task in unheard}
         worker.running.clear()
-        worker.cut = True
+        worker.is_unreachable = True
     harness.entries = [
         entry for entry in harness.entries if entry.worker_id not in worker_ids
     ]
@@ -66,12 +66,12 @@
 
 
 def begin_outage(harness):
-    harness.store_down = harness.cell.context.store_is_away = True
+    harness.store_down = harness.cell.context.is_store_unavailable = True
 
 
 def replace_owner(harness):
     """Let the store come back as another instance takes the cell over."""
-    harness.dead = True
+    harness.is_owner_down = True
     harness.store_down = False
     harness.take_over()
 
@@ -84,7 +84,7 @@
     begin_outage(harness)
     harness.run(for_ms)
     leave(harness, ("w0", "w1"))
-    harness.run(SILENCE_MS)
+    harness.run(COMMAND_TIMEOUT_MS)
 
 
 def starts_of_step(harness, step, count):
@@ -98,14 +98,14 @@
     harness.run(STANDSTILL_BOUND_MS)
     assert starts_of_step(harness, 1, 2) == [1, 1]
     assert starts_of_step(harness, 0, 4) == [1, 1, 1, 1]
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_what_was_heard_outlives_two_owners(make_harness):
     """A roll stops one owner after the other; the second stores nothing either."""
     harness = make_harness(workers=6)
     run_into_outage(harness)
-    harness.dead = True
+    harness.is_owner_down = True
     harness.take_over()
     begin_outage(harness)
     harness.run(500)
@@ -129,7 +129,7 @@
     leave(harness, (first,))
     replace_owner(harness)
     harness.run(STANDSTILL_BOUND_MS)
-    assert harness.job(JOB).shown_state is JobState.FAILED
+    assert harness.job(JOB).visible_state is JobState.FAILED
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
 
 
@@ -145,7 +145,7 @@
     replace_owner(harness)
     harness.run(STANDSTILL_BOUND_MS)
     assert harness.job(JOB).steps[0].tasks[0].failures == 1
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def submit_jobs(harness, count):
@@ -169,7 +169,7 @@
                 continue
             since_ms = idle_since_ms.setdefault(job.job_id, harness.now)
             longest_ms = max(longest_ms, harness.now - since_ms)
-    assert all(job.shown_state is JobState.SUCCEEDED for job in jobs)
+    assert all(job.visible_state is JobState.SUCCEEDED for job in jobs)
     return longest_ms
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_copies.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_speculative_copies.py
@@ -12,9 +12,9 @@
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500, "speculative": True}))
     harness.run(200)
     first = next(w for w in harness.workers.values() if w.running)
-    first.cut = True
+    first.is_unreachable = True
     harness.run(2_600)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
 def test_a_hall_in_doubt_for_a_moment_brings_no_copies(make_harness):
@@ -26,8 +26,8 @@
     starts = [harness.starts_of(f"{JOB}.0.0.{index}") for index in range(3)]
     busy = next(w for w in harness.workers.values() if w.running)
     worker = harness.cell.context.workers[busy.worker_id]
-    harness.cell.looks.doubt_hall(worker, harness.now)
-    assert worker.is_doubtful
+    harness.cell.poller.suspect_hall(worker, harness.now)
+    assert worker.is_suspect
     harness.cell.context.needs_plan = True
     harness.run(400)
     assert starts == [harness.starts_of(f"{JOB}.0.0.{index}") for index in range(3)]
@@ -39,6 +39,6 @@
     harness.submit(JOB, job_spec(step))
     harness.run(100)
     ((worker_id, _, _),) = harness.starts_of(f"{JOB}.0.0.0")
-    harness.workers[worker_id].cut = True
+    harness.workers[worker_id].is_unreachable = True
     harness.run(1_700)
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 2
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_store_outages.py
@@ -16,9 +16,9 @@
         worker.work_ms = 60_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 8_000}))
     harness.run(300)
-    harness.dead = True
+    harness.is_owner_down = True
     for worker_id in ("w0", "w1", "w2"):
-        harness.workers[worker_id].cut = True
+        harness.workers[worker_id].is_unreachable = True
     harness.run(500)
     harness.take_over()
     harness.run(10_000)
@@ -42,13 +42,13 @@
         worker.work_ms = 60_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 8_000}))
     harness.run(300)
-    harness.dead = True
+    harness.is_owner_down = True
     for worker_id in ("w0", "w1", "w2"):
-        harness.workers[worker_id].cut = True
+        harness.workers[worker_id].is_unreachable = True
     harness.run(500)
     harness.take_over()
     harness.run(unlisted_after_ms)
-    harness.list_workers(
+    harness.load_worker_list(
         [entry for entry in harness.entries if entry.worker_id == "w3"]
     )
     harness.run(10_000 - unlisted_after_ms)
@@ -80,9 +80,9 @@
     long = {"count": 1, "cpu_milli": 100, "estimated_ms": 6_000}
     harness.submit("b" * 16, job_spec(long))
     harness.run(100)
-    harness.take_store_away(for_ms=7_000)
+    harness.run_store_outage(for_ms=7_000)
     harness.run(500)
-    assert harness.job("b" * 16).shown_state is JobState.SUCCEEDED
+    assert harness.job("b" * 16).visible_state is JobState.SUCCEEDED
     assert len(harness.starts_of(f"{'b' * 16}.0.0.0")) == 1
 
 
@@ -92,7 +92,7 @@
     harness = make_harness(workers=2, advice=advice)
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 100}))
     harness.run(40)
-    harness.take_store_away(for_ms=4_000)
+    harness.run_store_outage(for_ms=4_000)
     assert not harness.starts_of(f"{JOB}.0.0.0")
     harness.run(40)
     assert harness.counts["ticket_lapsed"] == 1
@@ -110,10 +110,10 @@
     assert cell.quorum.is_held(harness.now)
     paused_until_ms = harness.now + 4_000.0
     for worker in cell.context.workers.values():
-        report = harness.workers[worker.worker_id].look(
+        report = harness.workers[worker.worker_id].poll(
             worker.fence(2), 0, 0, harness.now
         )
-        cell.looks.on_report(worker, report, 0, now_ms=paused_until_ms)
+        cell.poller.on_report(worker, report, 0, now_ms=paused_until_ms)
     assert not cell.quorum.is_held(paused_until_ms)
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_stored_lives.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_stored_incarnations.py
@@ -3,13 +3,13 @@
 import orjson
 
 from thymefork_cells.jobs.codec import decode_progress, encode_progress
-from thymefork_cells.state import JobState, Loss
+from thymefork_cells.state import JobState, WorkerLoss
 
-from .harness import EPOCH_MS, job_spec
-from .run_rules import twice_run
+from .harness import START_EPOCH_MS, job_spec
+from .run_invariants import tasks_run_twice
 
 JOB = "00000000000000aa"
-BORN_EPOCH_MS = int(EPOCH_MS)
+BORN_EPOCH_MS = int(START_EPOCH_MS)
 
 
 def started_task(harness):
@@ -22,14 +22,16 @@
     """Bring the job of a task to stored progress; return its runs and losses."""
     task.runs.clear()
     task.losses.clear()
-    decode_progress(harness.job(JOB), data, harness.cell.roster.ghost)
+    decode_progress(
+        harness.job(JOB), data, harness.cell.registry.get_or_add_placeholder
+    )
     return task.runs, list(task.losses.values())
 
 
 def test_runs_and_losses_keep_the_life_that_they_were_on(harness):
     task = started_task(harness)
-    lost = Loss(worker_id="w", after_ms=7, is_certain=True, born_epoch_ms=5)
-    task.losses[lost.life] = lost
+    lost = WorkerLoss(worker_id="w", after_ms=7, is_certain=True, born_epoch_ms=5)
+    task.losses[lost.incarnation] = lost
     runs, losses = decoded(harness, task, encode_progress(harness.job(JOB)))
     assert [run.born_epoch_ms for run in runs] == [BORN_EPOCH_MS]
     assert losses == [lost]
@@ -45,7 +47,7 @@
         data = orjson.dumps([state, [[step, done, [fields], gang]]])
         runs, losses = decoded(harness, task, data)
         assert [run.born_epoch_ms for run in runs] == [0]
-        assert [loss.life for loss in losses] == [("w", 0)] * (len(fields) - 5)
+        assert [loss.incarnation for loss in losses] == [("w", 0)] * (len(fields) - 5)
 
 
 def test_a_new_owner_starts_again_what_was_on_a_life_that_is_over(make_harness):
@@ -55,7 +57,7 @@
         worker.work_ms = 3_000.0
     harness.submit(JOB, job_spec({"count": 4, "cpu_milli": 1_000}))
     harness.run(500)
-    harness.dead = True
+    harness.is_owner_down = True
     worker = max(harness.workers.values(), key=lambda one: len(one.running))
     harness.restart(worker, away_ms=50.0)
     harness.run(300)
@@ -63,8 +65,8 @@
     harness.run(1_000)
     assert len(harness.running()) == 4
     harness.run(4_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
-    assert not twice_run(harness)
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
+    assert not tasks_run_twice(harness)
 
 
 def test_progress_without_losses_has_the_form_that_others_read(harness):
@@ -73,13 +75,13 @@
     job = harness.job(JOB)
     before = encode_progress(job)
     task = job.steps[0].tasks[0]
-    loss = Loss(worker_id="w", after_ms=7, is_certain=False)
-    task.losses[loss.life] = loss
+    loss = WorkerLoss(worker_id="w", after_ms=7, is_certain=False)
+    task.losses[loss.incarnation] = loss
     with_losses = encode_progress(job)
     assert before != with_losses
     task.losses.clear()
-    for data, wanted in ((before, {}), (with_losses, {loss.life})):
+    for data, wanted in ((before, {}), (with_losses, {loss.incarnation})):
         task.runs.clear()
-        decode_progress(job, data, harness.cell.roster.ghost)
+        decode_progress(job, data, harness.cell.registry.get_or_add_placeholder)
         assert set(task.losses) == set(wanted)
     assert encode_progress(job) == with_losses
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_unknown_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_unknown_speeds.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from .test_uneven_workers import BATCH_GAP_MS, SMALL_GAP_MS, WatchedSite
+from .test_heterogeneous_workers import BATCH_GAP_MS, SMALL_GAP_MS, WatchedSite
 
 SEARCH_MS = 12_000.0
 LOAD_MS = 8_000.0
@@ -18,8 +18,8 @@
 def test_small_jobs_find_fast_workers_after_a_takeover_without_news(seed):
     site = WatchedSite(seed=seed)
     site.load(SEARCH_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    site.told_speeds.clear()
-    site.dead = True
+    site.announced_speeds.clear()
+    site.is_owner_down = True
     site.run(500)
     site.take_over()
     site.run(1_500)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_worker_losses.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_worker_losses.py
@@ -40,9 +40,11 @@
     harness.run(400)
     leaving = next(worker for worker in harness.workers.values() if worker.running)
     entries = harness.entries
-    harness.list_workers([row for row in entries if row.worker_id != leaving.worker_id])
+    harness.load_worker_list(
+        [row for row in entries if row.worker_id != leaving.worker_id]
+    )
     harness.run(1_000)  # it serves on and answers, though its entry is gone
-    leaving.cut = True
+    leaving.is_unreachable = True
     harness.run(5_000)
     assert [line["was_leaving"] for line in lost_lines(harness)] == [True]
 
@@ -53,7 +55,9 @@
         worker.work_ms = 20_000.0
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500, "speculative": True}))
     harness.run(200)
-    next(worker for worker in harness.workers.values() if worker.running).cut = True
+    next(
+        worker for worker in harness.workers.values() if worker.running
+    ).is_unreachable = True
     harness.run(1_500)
     starts = [note.fields for note in harness.notes if note.event == "tasks_start"]
     assert [line["copies"] for line in starts][:2] == [0, 1]
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_restarts_under_an_id.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_worker_restarts.py
@@ -28,12 +28,12 @@
 
 import pytest
 
-from thymefork_cells.effects import LookAt, StartRun, StopRun
+from thymefork_cells.effects import PollWorker, StartRun, StopRun
 from thymefork_cells.state import JobState
-from thymefork_cells.workers.worker_losses import MOST_CRASHES
+from thymefork_cells.workers.worker_losses import MAX_CRASHES
 
 from .harness import job_spec
-from .run_rules import longest_absence_ms, twice_run
+from .run_invariants import longest_gap_ms, tasks_run_twice
 
 JOB = "00000000000000aa"
 LASTING_JOB = "00000000000000bb"
@@ -48,7 +48,7 @@
 def run_to_the_end(harness, job_id, step):
     harness.submit(job_id, job_spec(step))
     harness.run(2_000)
-    assert harness.job(job_id).shown_state is JobState.SUCCEEDED
+    assert harness.job(job_id).visible_state is JobState.SUCCEEDED
 
 
 # One restart -------------------------------------------------------------------
@@ -62,14 +62,14 @@
     harness.run(1_000)
     for number in range(3):
         run_to_the_end(harness, f"{number:016x}", {"count": 1, "cpu_milli": 1_000})
-    assert not twice_run(harness)
+    assert not tasks_run_twice(harness)
     assert {len(harness.starts_of(f"{n:016x}.0.0.0")) for n in range(3)} == {1}
 
 
 @pytest.mark.parametrize("away_ms", [20.0, 400.0, 3_500.0])
-@pytest.mark.parametrize("entry_after_ms", [0.0, 600.0])
+@pytest.mark.parametrize("entry_delay_ms", [0.0, 600.0])
 def test_a_lasting_task_is_back_soon_after_its_worker(
-    make_harness, away_ms, entry_after_ms
+    make_harness, away_ms, entry_delay_ms
 ):
     harness = make_harness(workers=1)
     (worker,) = harness.workers.values()
@@ -77,10 +77,10 @@
     harness.submit(LASTING_JOB, job_spec(LASTING))
     harness.run(30_000)
     began_ms = harness.now
-    harness.restart(worker, away_ms=away_ms, entry_after_ms=entry_after_ms)
+    harness.restart(worker, away_ms=away_ms, entry_delay_ms=entry_delay_ms)
     harness.run(20_000)
-    assert longest_absence_ms(harness, LASTING_TASK, began_ms) < ABSENCE_BOUND_MS
-    assert not twice_run(harness)
+    assert longest_gap_ms(harness, LASTING_TASK, began_ms) < ABSENCE_BOUND_MS
+    assert not tasks_run_twice(harness)
 
 
 def test_tasks_of_before_start_again_at_once(make_harness):
@@ -95,11 +95,11 @@
     began_ms = harness.now
     harness.restart(worker, away_ms=50.0)
     harness.run(1_000)
-    absences_ms = [longest_absence_ms(harness, task, began_ms) for task in tasks]
+    absences_ms = [longest_gap_ms(harness, task, began_ms) for task in tasks]
     assert max(absences_ms) < 1_000.0
     harness.run(5_000)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
-    assert not twice_run(harness)
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
+    assert not tasks_run_twice(harness)
 
 
 # Orders of before --------------------------------------------------------------
@@ -115,40 +115,40 @@
         worker.work_ms = 6_000.0
     late = []
 
-    def late_ms(effect):
+    def command_delay_ms(effect):
         if isinstance(effect, StartRun) and not late:
             late.append(effect.run.worker.worker_id)
             return 3_000.0
         return 0.0
 
-    harness.late_ms = late_ms
+    harness.command_delay_ms = command_delay_ms
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 1_000}))
     harness.run(restart_after_ms)
     harness.restart(harness.workers[late[0]], away_ms=100.0)
     harness.run(20_000)
-    assert not twice_run(harness)
-    assert harness.job(JOB).shown_state is JobState.SUCCEEDED
+    assert not tasks_run_twice(harness)
+    assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
-@pytest.mark.parametrize("entry_after_ms", [0.0, 500.0])
+@pytest.mark.parametrize("entry_delay_ms", [0.0, 500.0])
 @pytest.mark.parametrize("away_ms", [600.0, 2_800.0])
 def test_a_task_that_crashes_workers_is_given_up_though_they_keep_their_ids(
-    make_harness, away_ms, entry_after_ms
+    make_harness, away_ms, entry_delay_ms
 ):
     """From a soak: a worker that was away for long answers before it is listed again.
 
     It was taken for one that leaves, and its crash held against nobody.
     """
     harness = make_harness(workers=2)
-    harness.keeps_ids = True
-    harness.back_after_ms = away_ms
-    harness.entry_after_ms = entry_after_ms
+    harness.keeps_worker_ids = True
+    harness.return_delay_ms = away_ms
+    harness.entry_delay_ms = entry_delay_ms
     task = f"{JOB}.0.0.0"
     harness.crashes_after_ms = lambda name: 10.0 if name == task else None
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 1_000}))
     harness.run(60_000)
-    assert harness.job(JOB).shown_state is JobState.FAILED
-    assert len(harness.starts_after_crashes(task, 3)) < 3
+    assert harness.job(JOB).visible_state is JobState.FAILED
+    assert len(harness.starts_after_nth_crash(task, 3)) < 3
 
 
 # Drawn at random ---------------------------------------------------------------
@@ -181,17 +181,17 @@
             restarts_left -= 1
             _restart_one(harness, rng)
         _disturb(harness, rng, kind)
-    harness.late_ms = lambda effect: 0.0
+    harness.command_delay_ms = lambda effect: 0.0
     _heal(harness)
     calm_ms = harness.now + 12_000
     harness.run(30_000)
-    assert not twice_run(harness), (kind, seed)
-    states = {job_id: harness.job(job_id).shown_state for job_id in jobs}
+    assert not tasks_run_twice(harness), (kind, seed)
+    states = {job_id: harness.job(job_id).visible_state for job_id in jobs}
     given_up = _given_up(harness)
     wrong = [job_id for job_id in jobs if states[job_id] is not JobState.SUCCEEDED]
     assert set(wrong) <= given_up, (kind, seed, wrong)
     for job_id in set(lasting) - given_up:
-        absence_ms = longest_absence_ms(harness, f"{job_id}.0.0.0", calm_ms)
+        absence_ms = longest_gap_ms(harness, f"{job_id}.0.0.0", calm_ms)
         assert absence_ms < ABSENCE_BOUND_MS, (kind, seed, job_id)
 
 
@@ -215,47 +215,49 @@
         if note.event == "task_crashes_workers"
     }
     runs = [run for worker in harness.workers.values() for run in worker.history]
-    crashes = Counter(run.task for run in runs if not run.is_noted)
-    crashes.update(harness.carrier.starts_unanswered)
-    assert all(crashes[task] >= MOST_CRASHES for task in judged), judged
+    crashes = Counter(run.task for run in runs if not run.is_acknowledged)
+    crashes.update(harness.transport.starts_unanswered)
+    assert all(crashes[task] >= MAX_CRASHES for task in judged), judged
     return {task.split(".")[0] for task in judged}
 
 
 def _up(harness):
-    return [worker for worker in harness.workers.values() if not worker.cut]
+    return [worker for worker in harness.workers.values() if not worker.is_unreachable]
 
 
 def _restart_one(harness, rng):
     harness.restart(
         rng.choice(_up(harness)),
         away_ms=rng.choice((20.0, 100.0, 500.0, 2_000.0, 3_500.0)),
-        entry_after_ms=rng.choice((0.0, 100.0, 800.0)),
+        entry_delay_ms=rng.choice((0.0, 100.0, 800.0)),
     )
 
 
 def _let_orders_come_late(harness, rng):
-    kinds = (StartRun, StopRun, LookAt)
+    kinds = (StartRun, StopRun, PollWorker)
 
-    def late_ms(effect):
+    def command_delay_ms(effect):
         if isinstance(effect, kinds) and rng.random() < 0.05:
             return rng.uniform(300.0, 6_000.0)
         return 0.0
 
-    harness.late_ms = late_ms
+    harness.command_delay_ms = command_delay_ms
 
 
 def _disturb(harness, rng, kind):
     if kind in ("new owners", "all") and rng.random() < 0.1:
-        harness.dead = True
+        harness.is_owner_down = True
         harness.run(300)
         harness.take_over()
     if kind in ("cuts", "all") and rng.random() < 0.15 and len(_up(harness)) > 8:
-        harness.cut_off(rng.choice(_up(harness)), for_ms=rng.uniform(200.0, 5_000.0))
+        harness.disconnect_worker(
+            rng.choice(_up(harness)), for_ms=rng.uniform(200.0, 5_000.0)
+        )
     if kind == "outages" and rng.random() < 0.15:
-        harness.take_store_away(rng.uniform(300.0, 4_000.0))
-        harness.list_workers(harness.entries)
+        harness.run_store_outage(rng.uniform(300.0, 4_000.0))
+        harness.load_worker_list(harness.entries)
 
 
 def _heal(harness):
     harness.run(6_000)
-    assert all(not worker.cut for worker in harness.workers.values())
+    assert all(not worker.is_unreachable for worker in harness.workers.values())
--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_gangs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_gangs.py
@@ -10,15 +10,15 @@
 class VirtualGangs:
     """Have gangs begin once all of one run are present, and break with a member.
 
-    `alone` lists the runs that waited in vain, with when and on which worker;
-    `begun` those runs of steps that were whole once.
+    `incomplete_gangs` lists the runs that waited in vain, with when and on which worker;
+    `started_gangs` those runs of steps that were whole once.
     """
 
     def __init__(self, *, harness, wait_ms):
         self._harness = harness
         self._wait_ms = wait_ms
-        self.alone = []
-        self.begun = set()
+        self.incomplete_gangs = []
+        self.started_gangs = set()
 
     def on_start(self, worker, task, run_id):
         """Keep a member from ending by itself."""
@@ -36,7 +36,7 @@
         for gang, members in self._members().items():
             task = members[0][1].task
             count = self._harness.step_of(task).count
-            if gang in self.begun:
+            if gang in self.started_gangs:
                 if len(members) < count:
                     self._end_all(gang, members)
             elif len(members) == count:
@@ -55,7 +55,7 @@
         return gangs
 
     def _begin(self, gang, members):
-        self.begun.add(gang)
+        self.started_gangs.add(gang)
         ends_ms = self._harness.now + max(worker.work_ms for worker, _ in members)
         for _, run in members:
             run.ends_ms = ends_ms
@@ -76,5 +76,7 @@
     def _end_waiting(self, members):
         for worker, run in members:
             if self._harness.now - run.began_ms >= self._wait_ms:
-                self.alone.append((self._harness.now, worker.worker_id, run.task))
+                self.incomplete_gangs.append(
+                    (self._harness.now, worker.worker_id, run.task)
+                )
                 worker.end((run.task, run.run_id), "alone")
--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_site.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_site.py
@@ -12,7 +12,7 @@
     WorkerEntry,
 )
 
-from .virtual_worker import EPOCH_MS
+from .virtual_worker import START_EPOCH_MS
 
 __all__ = ["QUEUE", "configuration", "job_spec", "worker_entries", "worker_ids"]
 
@@ -41,7 +41,7 @@
             cpu_milli=cpu_milli,
             memory_mb=32_000,
             accelerators=accelerators,
-            born_epoch_ms=int(EPOCH_MS),
+            born_epoch_ms=int(START_EPOCH_MS),
         )
         for number, worker_id in enumerate(worker_ids)
     ]
--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
@@ -2,21 +2,21 @@
 
 from attrs import define, field
 
-from thymefork_cells import EndRow, OrderAnswer, Refusal, RunRow, WorkerReport
+from thymefork_cells import CommandAnswer, EndRow, Refusal, RunRow, WorkerReport
 
 # A lease may reach this far from when it is taken; a longer one is cut.
 MAX_HOLD_MS = 10_000.0
 # What the clock of a life shows as it begins.
 FIRST_CLOCK_MS = 1.0
-EPOCH_MS = 1_700_000_000_000.0
+START_EPOCH_MS = 1_700_000_000_000.0
 
 
 @define(kw_only=True, eq=False)
 class VirtualRun:
     """Follow one run; `ends_ms` is when its work is done.
 
-    `ended_ms` is None while it runs; `is_noted` tells that its end was acknowledged,
-    `is_unforbidden` that it was begun late, by an order to a life before this one,
+    `ended_ms` is None while it runs; `is_acknowledged` tells that its end was acknowledged,
+    `is_unfenced` that it was begun late, by an order to a life before this one,
     before the owner was answered by this one. `stops_ms` is when an answered stop
     ends it.
     """
@@ -27,40 +27,40 @@
     ends_ms: float
     how: str = "done"
     ended_ms: float | None = None
-    is_noted: bool = False
-    is_unforbidden: bool = False
+    is_acknowledged: bool = False
+    is_unfenced: bool = False
     stops_ms: float | None = None
 
 
 @define(kw_only=True, eq=False, slots=False)
 class VirtualWorker:
-    """Run tasks for `work_ms`; unreachable while `cut` is set.
+    """Run tasks for `work_ms`; unreachable while `is_unreachable` is set.
 
     `work_ms_of` tells the work of single tasks; `slow_factor` is its own slowness.
     Once it `is_replaced`, another life of the worker answers at its address.
 
-    With `waits_at_the_end` its tasks stay at 100%, as of a gang with slower members.
-    The next `idle_stops` stops are answered and not carried out; any other takes
-    `stop_takes_ms`. Serving tasks have a
-    tail of `tail_ms`; `paces` holds each run's share of its speed, 100 at its start.
-    `history` holds every run of all lives, `lapsed_ms` is when its lease had run out
+    With `stalls_at_completion` its tasks stay at 100%, as of a gang with slower members.
+    The next `ignored_stops` stops are answered and not carried out; any other takes
+    `stop_duration_ms`. Serving tasks have a
+    tail of `tail_ms`; `pace_percents` holds each run's share of its speed, 100 at its start.
+    `history` holds every run of all lives, `lease_lapsed_ms` is when its lease had run out
     last.
     """
 
     worker_id: str
     work_ms: float = 800.0
-    clock_ahead_ms: float = 5_000.0
-    born_epoch_ms: int = int(EPOCH_MS)
+    clock_offset_ms: float = 5_000.0
+    born_epoch_ms: int = int(START_EPOCH_MS)
     history: list = field(factory=list)
-    cut: bool = False
+    is_unreachable: bool = False
     is_replaced: bool = False
     fails_all: bool = False
-    stands_still: bool = False
-    waits_at_the_end: bool = False
-    idle_stops: int = 0
-    stop_takes_ms: float = 0.0
+    is_stalled: bool = False
+    stalls_at_completion: bool = False
+    ignored_stops: int = 0
+    stop_duration_ms: float = 0.0
     tail_ms: int = 0
-    paces: dict = field(factory=dict)
+    pace_percents: dict = field(factory=dict)
     slow_factor: float = 1.0
     work_ms_of: dict = field(factory=dict)
     fence: int = 0
@@ -71,24 +71,24 @@
     starts: list = field(factory=list)
     next_end: int = 1
     now_ms: float = 0.0
-    lapsed_ms: float = 0.0
+    lease_lapsed_ms: float = 0.0
 
     def clock(self, now_ms):
-        return round(now_ms + self.clock_ahead_ms)
+        return round(now_ms + self.clock_offset_ms)
 
-    def end_life(self, now_ms):
+    def end_incarnation(self, now_ms):
         """Lose all that the worker holds and knows; it is out of reach."""
         self.advance(now_ms)
         for run in self.running.values():
             run.how, run.ended_ms = "gone", now_ms
         self.running.clear()
-        self.cut = True
+        self.is_unreachable = True
 
-    def begin_life(self, now_ms):
+    def begin_incarnation(self, now_ms):
         """Begin anew under the same id, with all counts."""
-        self.cut = False
-        self.born_epoch_ms = max(self.born_epoch_ms + 1, int(EPOCH_MS + now_ms))
-        self.clock_ahead_ms = FIRST_CLOCK_MS - now_ms
+        self.is_unreachable = False
+        self.born_epoch_ms = max(self.born_epoch_ms + 1, int(START_EPOCH_MS + now_ms))
+        self.clock_offset_ms = FIRST_CLOCK_MS - now_ms
         self.fence = 0
         self.lease_until_ms = 0.0
         self.closed.clear()
@@ -99,8 +99,8 @@
         """End what is done and, once the lease is over, everything."""
         self.now_ms = now_ms
         for key, run in list(self.running.items()):
-            in_time = run.ends_ms < self.lease_until_ms and not self.stands_still
-            in_time = in_time and not self.waits_at_the_end
+            in_time = run.ends_ms < self.lease_until_ms and not self.is_stalled
+            in_time = in_time and not self.stalls_at_completion
             if run.stops_ms is not None and now_ms >= run.stops_ms:
                 self._end(key, "stopped")
             elif in_time and now_ms >= run.ends_ms:
@@ -147,15 +147,15 @@
             )
             self.running[task, run_id] = run
             self.history.append(run)
-            self.paces[task, run_id] = 100
+            self.pace_percents[task, run_id] = 100
             self.starts.append((task, run_id, now_ms))
             refusal = Refusal.NONE
-        return OrderAnswer(refusal=refusal, clock_ms=self.clock(now_ms))
+        return CommandAnswer(refusal=refusal, clock_ms=self.clock(now_ms))
 
     def _take_lease(self, deadline_clock_ms, now_ms):
         if now_ms > self.lease_until_ms:
-            self.lapsed_ms = self.lease_until_ms
-        until_ms = min(deadline_clock_ms - self.clock_ahead_ms, now_ms + MAX_HOLD_MS)
+            self.lease_lapsed_ms = self.lease_until_ms
+        until_ms = min(deadline_clock_ms - self.clock_offset_ms, now_ms + MAX_HOLD_MS)
         self.lease_until_ms = max(self.lease_until_ms, until_ms)
 
     def _judge(self, task, run_id, fence, deadline_clock_ms, now_ms):
@@ -171,26 +171,26 @@
     def stop(self, task, run_id, fence, now_ms):
         self.advance(now_ms)
         if fence < self.fence:
-            return OrderAnswer(refusal=Refusal.FENCED, clock_ms=self.clock(now_ms))
-        if self.idle_stops:
-            self.idle_stops -= 1
-            return OrderAnswer(clock_ms=self.clock(now_ms))
+            return CommandAnswer(refusal=Refusal.FENCED, clock_ms=self.clock(now_ms))
+        if self.ignored_stops:
+            self.ignored_stops -= 1
+            return CommandAnswer(clock_ms=self.clock(now_ms))
         self.closed[task] = max(run_id, self.closed.get(task, 0))
         run = self.running.get((task, run_id))
         if run is not None and run.stops_ms is None:
-            run.stops_ms = now_ms + self.stop_takes_ms
+            run.stops_ms = now_ms + self.stop_duration_ms
         self.advance(now_ms)
-        return OrderAnswer(clock_ms=self.clock(now_ms))
+        return CommandAnswer(clock_ms=self.clock(now_ms))
 
     def pace(self, task, run_id, percent, fence, now_ms):
         self.advance(now_ms)
         if fence < self.fence:
-            return OrderAnswer(refusal=Refusal.FENCED, clock_ms=self.clock(now_ms))
+            return CommandAnswer(refusal=Refusal.FENCED, clock_ms=self.clock(now_ms))
         if (task, run_id) in self.running:
-            self.paces[task, run_id] = percent
-        return OrderAnswer(clock_ms=self.clock(now_ms))
+            self.pace_percents[task, run_id] = percent
+        return CommandAnswer(clock_ms=self.clock(now_ms))
 
-    def look(self, fence, last_end, deadline_clock_ms, now_ms):
+    def poll(self, fence, last_end, deadline_clock_ms, now_ms):
         self.advance(now_ms)
         if fence < self.fence:
             return None
@@ -218,17 +218,19 @@
 
     def _note_ends(self, last_end):
         """Take note of ends, but for those after which the lease has lapsed."""
-        lapsed_ms = self.lapsed_ms
+        lease_lapsed_ms = self.lease_lapsed_ms
         if self.now_ms > self.lease_until_ms:
-            lapsed_ms = self.lease_until_ms
+            lease_lapsed_ms = self.lease_until_ms
         noted = {(row.task, row.run_id) for row in self.ended if row.number <= last_end}
         for run in self.history:
             if (run.task, run.run_id) in noted and run.how != "gone":
-                run.is_noted = run.is_noted or run.ended_ms > lapsed_ms
+                run.is_acknowledged = (
+                    run.is_acknowledged or run.ended_ms > lease_lapsed_ms
+                )
 
     def _percent(self, run, now_ms):
-        if self.stands_still:
+        if self.is_stalled:
             return 0
         span_ms = max(1.0, run.ends_ms - run.began_ms)
-        most = 100 if self.waits_at_the_end else 99
+        most = 100 if self.stalls_at_completion else 99
         return min(most, int(100 * (now_ms - run.began_ms) / span_ms))
--- a/packages/thymefork-cells/src/thymefork_cells/workers/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/__init__.py
@@ -1,36 +1,47 @@
 """Workers: which there are, what runs on them, and what they are told."""
 
-from .gang_watch import GangWatch
-from .listings import DOUBT_REASON, Listings
-from .lives import LifeVerdict, Lives
-from .looks import Looks
-from .orders import OrderAnswer, Orders, Refusal
-from .pacing import Pacing
-from .quorum import OUTAGE_GRACE_MS, QUORUM_MS, Quorum, lease_span_ms
-from .roster import Roster
-from .watch import Watch
-from .worker_losses import MOST_CRASHES, MOST_LOSSES, SOUND_MS, WorkerLosses, trial_ms
+from .commands import CommandAnswer, CommandTracker, Refusal
+from .gang_monitor import GangMonitor
+from .incarnations import IncarnationMatch, IncarnationTracker
+from .pacing import PaceController
+from .progress_monitor import ProgressMonitor
+from .quorum import (
+    OUTAGE_GRACE_MS,
+    QUORUM_ANSWER_MAX_AGE_MS,
+    Quorum,
+    max_lease_duration_ms,
+)
+from .run_reconciler import UNANSWERED_START_REASON, RunReconciler
+from .worker_losses import (
+    MAX_CLEARING_TIME_MS,
+    MAX_CRASHES,
+    MAX_LOSSES,
+    WorkerLosses,
+    clearing_time_ms,
+)
+from .worker_poller import WorkerPoller
+from .worker_registry import WorkerRegistry
 
 __all__ = [
-    "DOUBT_REASON",
-    "GangWatch",
-    "LifeVerdict",
-    "Listings",
-    "Lives",
-    "Looks",
-    "MOST_CRASHES",
-    "MOST_LOSSES",
+    "MAX_CLEARING_TIME_MS",
+    "MAX_CRASHES",
+    "MAX_LOSSES",
     "OUTAGE_GRACE_MS",
-    "OrderAnswer",
-    "Orders",
-    "Pacing",
-    "QUORUM_MS",
+    "QUORUM_ANSWER_MAX_AGE_MS",
+    "UNANSWERED_START_REASON",
+    "CommandAnswer",
+    "CommandTracker",
+    "GangMonitor",
+    "IncarnationMatch",
+    "IncarnationTracker",
+    "PaceController",
+    "ProgressMonitor",
     "Quorum",
     "Refusal",
-    "Roster",
-    "SOUND_MS",
-    "Watch",
+    "RunReconciler",
     "WorkerLosses",
-    "lease_span_ms",
-    "trial_ms",
+    "WorkerPoller",
+    "WorkerRegistry",
+    "clearing_time_ms",
+    "max_lease_duration_ms",
 ]
--- a/packages/thymefork-cells/src/thymefork_cells/workers/orders.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
@@ -6,10 +6,10 @@
 
 from ..effects import StopRun
 from ..state import RunState
-from .listings import DOUBT_REASON
-from .stop_order import in_stop_order
+from .run_reconciler import UNANSWERED_START_REASON
+from .stop_priority import sort_by_stop_priority
 
-__all__ = ["OrderAnswer", "Orders", "Refusal"]
+__all__ = ["CommandAnswer", "CommandTracker", "Refusal"]
 
 # A stop that got no answer is sent again after this long. The task can't be started
 # elsewhere before it is answered, so it is asked again soon; the wait for the answer
@@ -44,20 +44,20 @@
 
 
 @frozen(kw_only=True)
-class OrderAnswer:
+class CommandAnswer:
     """Hold a worker's answer to an order; `clock_ms` is on the worker's clock."""
 
     refusal: Refusal = Refusal.NONE
     clock_ms: int = 0
 
 
-class Orders:
+class CommandTracker:
     """Follow each start and stop until its outcome is certain."""
 
-    def __init__(self, *, context, lifecycle, looks, advice):
+    def __init__(self, *, context, lifecycle, poller, advice):
         self._context = context
         self._lifecycle = lifecycle
-        self._looks = looks
+        self._looks = poller
         self._advice = advice
 
     def may_start(self, run, now_ms):
@@ -82,7 +82,7 @@
 
         A gang starts as a whole, so what keeps one member keeps all of them.
         """
-        if self._context.is_list_stale(now_ms):
+        if self._context.is_worker_list_stale(now_ms):
             return "list_stale"
         if run.step.gang:
             obstacle = self._gang_obstacle(run, now_ms)
@@ -93,7 +93,7 @@
                 return "worker_restarted"
             if member.worker.entry.is_lapsed:
                 return "entry_lapsed"  # how much room it has now is not known
-            if member.worker.is_overfull:
+            if member.worker.is_overcommitted:
                 return "worker_shrank"
             if not self._advice.has_ticket(run.task.step, member.worker, now_ms):
                 return "ticket_lapsed"
@@ -111,7 +111,7 @@
             return "worker_silent"
         return ""
 
-    def on_start(self, run, answer, *, now_ms):
+    def on_start_answer(self, run, answer, *, now_ms):
         """Apply the answer to a start."""
         if run.state is RunState.GONE:
             self._on_late_answer(run, answer, now_ms)
@@ -140,28 +140,28 @@
             run.state = RunState.LIVE
             run.task.step.job.has_run = True
             run.percent_changed_ms = now_ms
-        self._looks.want(run.worker, now_ms)
+        self._looks.request_poll(run.worker, now_ms)
 
     def _in_doubt(self, run, now_ms):
         """Ask the worker whether a run is there; only an absent one is forbidden."""
         if run.state is RunState.SENT:
             self._context.count("retries", "start_unanswered")
-            run.doubted_ms = now_ms
-            run.worker.doubted_ms = now_ms
-            self._looks.doubt_hall(run.worker, now_ms)
+            run.suspected_ms = now_ms
+            run.worker.suspected_ms = now_ms
+            self._looks.suspect_hall(run.worker, now_ms)
 
     def _refused(self, run, refusal, now_ms):
         worker, step = run.worker, run.task.step
         self._context.count("retries", f"start_{refusal}")
         if refusal is Refusal.NO_ROOM:
-            worker.is_known = False
-            self._looks.want(worker, now_ms)
+            worker.has_reported = False
+            self._looks.request_poll(worker, now_ms)
         elif refusal is Refusal.NO_TICKET:
             step.tickets.pop(worker.worker_id, None)
         elif refusal is Refusal.UNWELL:
             worker.health.pause(now_ms)
         elif refusal is Refusal.OLD_RUN:
-            run.task.avoided.add(worker.worker_id)
+            run.task.avoided_workers.add(worker.worker_id)
         self._context.note(
             "start_refused",
             task=run.task.name,
@@ -171,47 +171,47 @@
         )
         self._lifecycle.release(run, now_ms=now_ms)
 
-    def on_stop(self, run, answer, *, now_ms):
+    def on_stop_answer(self, run, answer, *, now_ms):
         """Apply the answer to a stop."""
         if run.state is RunState.GONE:
             return
         answered = answer.refusal in (Refusal.NONE, Refusal.REJECTED)
         if answered and answer.clock_ms:
             self._context.count("stops", "answered")
-            self._context.owed_stops.pop(run, None)
+            self._context.pending_stops.pop(run, None)
             run.stop_clock_ms = answer.clock_ms
             run.worker.stopped.add(run.key)
             run.worker.stop_answered_ms = now_ms
-            self._looks.want(run.worker, now_ms)
+            self._looks.request_poll(run.worker, now_ms)
         else:
             run.stop_due_ms = now_ms + STOP_AGAIN_MS
 
-    def check_doubts(self, now_ms):
+    def stop_unconfirmed_starts(self, now_ms):
         """Have the runs stopped that were in doubt for too long."""
         for worker in self._context.workers.values():
             for run in list(worker.runs.values()):
-                if run.is_doubted and now_ms - run.doubted_ms > DOUBT_MS:
-                    self._lifecycle.stop(run, DOUBT_REASON, now_ms=now_ms)
+                if run.is_suspect and now_ms - run.suspected_ms > DOUBT_MS:
+                    self._lifecycle.stop(run, UNANSWERED_START_REASON, now_ms=now_ms)
 
     def send_stops(self, now_ms):
         """Send the stops that are owed and due to the workers that have an address."""
         due = [
             run
-            for run in self._context.owed_stops
+            for run in self._context.pending_stops
             if run.worker.entry.host and now_ms >= run.stop_due_ms
         ]
-        for run in in_stop_order(due, self._context.live_jobs.values()):
-            if run.stop_tries:
+        for run in sort_by_stop_priority(due, self._context.live_jobs.values()):
+            if run.stop_attempts:
                 self._context.count("retries", "stop_unanswered")
-            run.stop_tries += 1
+            run.stop_attempts += 1
             run.stop_due_ms = now_ms + STOP_LOST_MS
             self._context.emit(StopRun(run=run))
 
-    def note_overdue_stops(self, now_ms):
+    def log_overdue_stops(self, now_ms):
         """Tell once of each run that is still there long after its stop was due."""
         owed_before_ms = now_ms - STOP_OVERDUE_MS - self._context.bounds.stop_timeout_ms
         for run in self._runs_to_stop():
-            if run.stop_owed_ms < owed_before_ms and not run.stop_is_overdue:
+            if run.stop_pending_since_ms < owed_before_ms and not run.stop_is_overdue:
                 run.stop_is_overdue = True
                 self._note_overdue(run, now_ms)
 
@@ -223,7 +223,7 @@
             for key in worker.stopped
             if key in worker.runs
         ]
-        return [*self._context.owed_stops, *answered]
+        return [*self._context.pending_stops, *answered]
 
     def _note_overdue(self, run, now_ms):
         worker = run.worker
@@ -235,7 +235,7 @@
             run=run.run_id,
             worker=worker.worker_id,
             reason=run.stop_reason,
-            for_ms=round(now_ms - run.stop_owed_ms),
+            for_ms=round(now_ms - run.stop_pending_since_ms),
             answered=run.stop_clock_ms > 0,
             worker_listed=worker.is_listed,
             worker_heard_ms_ago=worker.heard_ms_ago(now_ms),
--- a/packages/thymefork-cells/src/thymefork_cells/workers/long_holds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/extended_leases.py
@@ -8,26 +8,29 @@
 
 import orjson
 
-from .quorum import lease_span_ms
+from .quorum import max_lease_duration_ms
 
-__all__ = ["HOLD_KEY", "LongHolds"]
+__all__ = ["EXTENDED_LEASE_KEY", "ExtendedLeases"]
 
-HOLD_KEY = "h"
+EXTENDED_LEASE_KEY = "h"
 # An order without an answer is carried out seconds late, if at all, also after newer
 # ones were answered.
-LATE_MS = 10_000.0
+MAX_COMMAND_DELAY_MS = 10_000.0
 
 
-class LongHolds:
+class ExtendedLeases:
     """Keep, and hand on, which workers may hold their runs that long."""
 
     def __init__(self, *, context):
         self._context = context
         self._stored = set()  # ids of the workers with a record
 
-    def on_next_life(self, worker, successor, now_ms):
+    def on_next_incarnation(self, worker, successor, now_ms):
         """Count on a lease for a worker's life that its next one may have taken."""
-        if worker.leased_ms and now_ms - worker.leased_ms < LATE_MS:
+        if (
+            worker.lease_sent_ms
+            and now_ms - worker.lease_sent_ms < MAX_COMMAND_DELAY_MS
+        ):
             self.begin(successor, now_ms)
 
     def begin(self, worker, now_ms):
@@ -35,16 +38,16 @@
         if worker.worker_id not in self._stored:
             self._stored.add(worker.worker_id)
             value = orjson.dumps([worker.born_epoch_ms])
-            self._context.journal.put(HOLD_KEY + worker.worker_id, value)
+            self._context.journal.put(EXTENDED_LEASE_KEY + worker.worker_id, value)
         self._tell(worker, "begun")
         self._count_on(worker, now_ms)
 
     def load(self, records, worker_of, now_ms):
         """Count on what a predecessor counted on, from now: clocks may differ."""
         for key in records:
-            if not key.startswith(HOLD_KEY):
+            if not key.startswith(EXTENDED_LEASE_KEY):
                 continue
-            worker = worker_of(key.removeprefix(HOLD_KEY))
+            worker = worker_of(key.removeprefix(EXTENDED_LEASE_KEY))
             self._stored.add(worker.worker_id)
             self._tell(worker, "inherited")
             self._count_on(worker, now_ms)
@@ -55,27 +58,27 @@
             f"long_hold_{how}",
             worker=worker.worker_id,
             born_epoch_ms=worker.born_epoch_ms,
-            for_ms=round(lease_span_ms(self._context.bounds.max_hold_ms)),
+            for_ms=round(max_lease_duration_ms(self._context.bounds.max_hold_ms)),
         )
 
     def _count_on(self, worker, now_ms):
-        until_ms = now_ms + lease_span_ms(self._context.bounds.max_hold_ms)
-        worker.long_hold_until_ms = until_ms
+        until_ms = now_ms + max_lease_duration_ms(self._context.bounds.max_hold_ms)
+        worker.extended_lease_until_ms = until_ms
         worker.may_run_until_ms = max(worker.may_run_until_ms, until_ms)
 
     def on_answer(self, worker, now_ms):
         """Count from a life's first answer on: it refuses orders of before from now."""
-        if worker.asked_ms:
+        if worker.answered_poll_ms:
             return
-        was_earlier = any(run.is_of_earlier_life for run in worker.runs.values())
-        if worker.long_hold_until_ms or was_earlier:
+        was_earlier = any(run.is_of_earlier_incarnation for run in worker.runs.values())
+        if worker.extended_lease_until_ms or was_earlier:
             self.begin(worker, now_ms)
 
     def review(self, now_ms):
         """Drop the records of what is over."""
         for worker_id in list(self._stored):
             worker = self._context.workers.get(worker_id)
-            if worker is None or now_ms > worker.long_hold_until_ms:
+            if worker is None or now_ms > worker.extended_lease_until_ms:
                 self._stored.discard(worker_id)
-                self._context.journal.put(HOLD_KEY + worker_id, b"")
+                self._context.journal.put(EXTENDED_LEASE_KEY + worker_id, b"")
                 self._context.count("long_holds", "over")
--- a/packages/thymefork-cells/src/thymefork_cells/workers/gang_watch.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/gang_monitor.py
@@ -2,7 +2,7 @@
 
 from ..state import RunState
 
-__all__ = ["GangWatch"]
+__all__ = ["GangMonitor"]
 
 # A stop may have to be sent twice to be answered, each time for up to 0.3 s.
 ORDER_MS = 500.0
@@ -10,7 +10,7 @@
 LEAST_SHARE = 0.25
 
 
-class GangWatch:
+class GangMonitor:
     """Stop what is left of a gang that can't begin, or could not for too long.
 
     Its members hold their room until all are present. One whose start was refused,
@@ -56,7 +56,7 @@
             return "member_gone"
         if any(run.state is RunState.STOPPING for run in members):
             return "member_stopped"
-        if step.is_whole(members[0].run_id):
+        if step.is_gang_complete(members[0].run_id):
             return ""
         if now_ms - self._first_began_ms(sent, now_ms) > self._patience_ms:
             return "unconfirmed"
--- a/packages/thymefork-cells/src/thymefork_cells/workers/lives.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
@@ -12,13 +12,13 @@
 
 from ..state import Run, RunState, Worker
 
-__all__ = ["LifeVerdict", "Lives"]
+__all__ = ["IncarnationMatch", "IncarnationTracker"]
 
 # Workers that come back under another id leave their old one behind.
 MOST_REMEMBERED = 10_000
 
 
-class LifeVerdict(Enum):
+class IncarnationMatch(Enum):
     """Tell which life of a worker is spoken of."""
 
     SAME = auto()
@@ -26,14 +26,14 @@
     EARLIER = auto()
 
 
-class Lives:
+class IncarnationTracker:
     """Tell a worker's lives apart, and go from one to the next."""
 
-    def __init__(self, *, context, lifecycle, losses, long_holds):
+    def __init__(self, *, context, lifecycle, losses, extended_leases):
         self._context = context
         self._lifecycle = lifecycle
         self._losses = losses
-        self._long_holds = long_holds
+        self._extended_leases = extended_leases
         self._numbers = {}  # by worker id: its latest life's start and number
 
     def number(self, worker_id, born_epoch_ms):
@@ -50,40 +50,40 @@
             del self._numbers[next(iter(self._numbers))]
         return number
 
-    def judge(self, worker, born_epoch_ms):
+    def match(self, worker, born_epoch_ms):
         """Tell whether the life that began at a moment is the one that is followed."""
-        if not worker.born_epoch_ms and not worker.asked_ms:
+        if not worker.born_epoch_ms and not worker.answered_poll_ms:
             worker.born_epoch_ms = born_epoch_ms  # the first word of it
             worker.number = self.number(worker.worker_id, born_epoch_ms)
         if born_epoch_ms == worker.born_epoch_ms:
-            return LifeVerdict.SAME
+            return IncarnationMatch.SAME
         if born_epoch_ms > worker.born_epoch_ms:
-            return LifeVerdict.NEXT
-        return LifeVerdict.EARLIER
+            return IncarnationMatch.NEXT
+        return IncarnationMatch.EARLIER
 
-    def judge_entry(self, worker, entry):
+    def match_entry(self, worker, entry):
         """Tell which life an entry is of; one may tell its start in listings alone."""
         if not entry.born_epoch_ms and not worker.entry.born_epoch_ms:
-            return LifeVerdict.SAME
-        return self.judge(worker, entry.born_epoch_ms)
+            return IncarnationMatch.SAME
+        return self.match(worker, entry.born_epoch_ms)
 
-    def judge_listing(self, worker, born_epoch_ms, now_ms):
+    def match_report(self, worker, born_epoch_ms, now_ms):
         """Tell which life a listing comes from.
 
         Where the worker's time of day was set back, its next life begins before the
         one that is followed. That is believed once nothing can run there any more.
         """
-        verdict = self.judge(worker, born_epoch_ms)
-        if verdict is not LifeVerdict.EARLIER or not born_epoch_ms or worker.runs:
+        verdict = self.match(worker, born_epoch_ms)
+        if verdict is not IncarnationMatch.EARLIER or not born_epoch_ms or worker.runs:
             return verdict
-        return verdict if now_ms <= worker.runs_until_ms else LifeVerdict.NEXT
+        return verdict if now_ms <= worker.runs_until_ms else IncarnationMatch.NEXT
 
-    def count_set_aside(self, born_epoch_ms):
+    def count_ignored_report(self, born_epoch_ms):
         """Count a listing that is not of the life that is followed."""
         reason = "earlier_life" if born_epoch_ms else "life_untold"
         self._context.count("looks", reason)
 
-    def begin(self, worker, *, entry, born_epoch_ms, now_ms):
+    def start_next(self, worker, *, entry, born_epoch_ms, now_ms):
         """End a worker's life; return the next one under its id."""
         self._context.note(
             "worker_life_changed",
@@ -96,7 +96,7 @@
         worker.is_over = True
         successor = self._successor(worker, entry, born_epoch_ms, now_ms)
         self._context.workers[worker.worker_id] = successor
-        self._losses.on_life_over(worker, now_ms=now_ms)
+        self._losses.on_incarnation_over(worker, now_ms=now_ms)
         self._drop_tickets(worker.worker_id)
         self._end_runs(worker, successor, now_ms)
         self._context.needs_plan = True
@@ -118,7 +118,7 @@
         ]
         if listed:
             self._context.count("run_ends", "worker_restarted", len(listed))
-            self._losses.lose(worker, listed, is_certain=True, now_ms=now_ms)
+            self._losses.on_worker_lost(worker, listed, is_certain=True, now_ms=now_ms)
         for run, loss in carried:
             self._carry_over(run, successor, loss)
 
@@ -131,17 +131,17 @@
             entry=entry,
             born_epoch_ms=born_epoch_ms,
             number=self.number(worker.worker_id, born_epoch_ms),
-            known_since_ms=now_ms,
+            tracked_since_ms=now_ms,
             is_listed=worker.is_listed,
-            unlisted_ms=worker.unlisted_ms,
+            unlisted_since_ms=worker.unlisted_since_ms,
             inherited_until_ms=worker.inherited_until_ms,
-            look_due_ms=now_ms,
+            poll_due_ms=now_ms,
             slowness=worker.slowness,
         )
-        self._long_holds.on_next_life(worker, successor, now_ms)
+        self._extended_leases.on_next_incarnation(worker, successor, now_ms)
         return successor
 
-    def stand_in_entry(self, worker):
+    def placeholder_entry(self, worker):
         """Return what is known of a next life whose own entry was not read yet.
 
         Its machine may have been given another kind or room since: it gets nothing.
@@ -153,7 +153,7 @@
         task = run.task
         run.worker.remove(run)
         run.state = RunState.GONE
-        self._context.owed_stops.pop(run, None)
+        self._context.pending_stops.pop(run, None)
         run.successor = Run(
             task=task,
             run_id=run.run_id,
@@ -161,7 +161,7 @@
             state=RunState.RECOVERED,
             born_epoch_ms=run.born_epoch_ms,
             stop_reason=run.stop_reason,
-            pace_told_percent=None,
+            acknowledged_pace_percent=None,
             is_carried_over=True,
             earlier_loss=loss,
             gang_slowness=run.gang_slowness,
--- a/packages/thymefork-cells/src/thymefork_cells/workers/pacing.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/pacing.py
@@ -2,9 +2,9 @@
 
 from ..effects import PaceRun
 from ..state import RunState
-from .orders import Refusal
+from .commands import Refusal
 
-__all__ = ["Pacing"]
+__all__ = ["PaceController"]
 
 # A task is held back further once a neighbour's tail reaches this share of its target,
 # and let go a step below the second share.
@@ -18,7 +18,7 @@
 PACE_LOST_MS = 500.0
 
 
-class Pacing:
+class PaceController:
     """Bring each filling run to the pace that its neighbours bear.
 
     A pace is wanted until its worker has taken it: after a lost order, under a new
@@ -45,7 +45,10 @@
 
     def _tell(self, run, now_ms):
         """Send the wanted pace where the worker is not known to keep it."""
-        if run.pace_told_percent == run.pace_percent or now_ms < run.pace_due_ms:
+        if (
+            run.acknowledged_pace_percent == run.pace_percent
+            or now_ms < run.pace_due_ms
+        ):
             return
         run.pace_due_ms = now_ms + PACE_LOST_MS
         self._context.emit(PaceRun(run=run, percent=run.pace_percent))
@@ -53,10 +56,10 @@
     def on_answer(self, run, percent, answer, *, now_ms):
         """Apply the answer to an order to pace a run."""
         if answer.refusal is Refusal.NONE:
-            run.pace_told_percent = percent
+            run.acknowledged_pace_percent = percent
             run.pace_due_ms = now_ms
         else:
-            run.pace_told_percent = None
+            run.acknowledged_pace_percent = None
             run.pace_due_ms = now_ms + PACE_AGAIN_MS
             self._context.count("retries", f"pace_{answer.refusal}")
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/watch.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/progress_monitor.py
@@ -2,7 +2,7 @@
 
 from ..state import RunState
 
-__all__ = ["Watch"]
+__all__ = ["ProgressMonitor"]
 
 # A run whose progress has not changed for this long while its worker answers stands
 # still. Progress is told in whole percent, so for tasks over 50 s it is this share of
@@ -18,12 +18,12 @@
 FRESH_MS = 900.0
 
 
-class Watch:
+class ProgressMonitor:
     """Stop what stands still; move what would end sooner elsewhere."""
 
-    def __init__(self, *, context, lifecycle, images):
+    def __init__(self, *, context, lifecycle, durations):
         self._context = context
-        self._images = images
+        self._durations = durations
         self._lifecycle = lifecycle
 
     def check(self, now_ms):
@@ -41,7 +41,7 @@
         if now_ms < worker.slow_until_ms:
             return
         paces = [
-            self._images.overrun_factor(run)
+            self._durations.overrun_factor(run)
             for run in worker.runs.values()
             if run.state is RunState.LIVE and run.listed_ms > now_ms - FRESH_MS
         ]
@@ -62,10 +62,10 @@
             return False
         if run.listed_ms < now_ms - FRESH_MS or not run.worker.slow_until_ms:
             return False
-        return self._images.late_ms(run, now_ms) > 0
+        return self._durations.late_ms(run, now_ms) > 0
 
     def _move(self, run, now_ms):
-        run.task.avoided.add(run.worker.worker_id)
+        run.task.avoided_workers.add(run.worker.worker_id)
         self._context.count("run_ends", "moved_from_slow_worker")
         self._context.note(
             "run_moves",
@@ -73,7 +73,7 @@
             run=run.run_id,
             worker=run.worker.worker_id,
             percent=run.percent,
-            left_ms=round(self._images.left_ms(run, now_ms)),
+            left_ms=round(self._durations.left_ms(run, now_ms)),
         )
         self._lifecycle.stop(run, "its worker is slow", now_ms=now_ms)
 
@@ -84,16 +84,16 @@
             return False
         if run.step.gang and run.percent >= 100:
             return False  # it waits for slower members: a gang ends as one
-        if run.step.gang and not run.task.step.is_whole(run.run_id):
+        if run.step.gang and not run.task.step.is_gang_complete(run.run_id):
             return False  # it waits for members that are missing (see gang_watch.py)
-        usual_ms = self._images.expected_ms(run.step, run.worker)
+        usual_ms = self._durations.expected_ms(run.step, run.worker)
         patience_ms = max(STANDSTILL_MS, STANDSTILL_SHARE * usual_ms)
-        patience_ms *= 2**run.task.standstills
+        patience_ms *= 2**run.task.stalls
         return run.listed_ms - run.percent_changed_ms > patience_ms
 
     def _stop_still(self, run, now_ms):
-        run.task.avoided.add(run.worker.worker_id)
-        run.task.standstills += 1
+        run.task.avoided_workers.add(run.worker.worker_id)
+        run.task.stalls += 1
         run.worker.health.pause(now_ms)
         self._context.count("run_ends", "stood_still")
         self._context.note(
--- a/packages/thymefork-cells/src/thymefork_cells/workers/quorum.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/quorum.py
@@ -6,15 +6,20 @@
 the successor has it, the predecessor can't renew anything for longer than a moment.
 """
 
-from .looks import CLOCK_DRIFT, LEASE_MARGIN_MS, LEASE_MS
+from .worker_poller import CLOCK_DRIFT_FACTOR, LEASE_MARGIN_MS, LEASE_MS
 
-__all__ = ["OUTAGE_GRACE_MS", "QUORUM_MS", "Quorum", "lease_span_ms"]
+__all__ = [
+    "OUTAGE_GRACE_MS",
+    "QUORUM_ANSWER_MAX_AGE_MS",
+    "Quorum",
+    "max_lease_duration_ms",
+]
 
 # The share of workers whose word is needed; any two such shares overlap, even if the
 # workers that the two owners know of differ by a fifth.
 SHARE = 0.6
 # A worker's word counts for this long: two looks at the pace of an outage.
-QUORUM_MS = 800.0
+QUORUM_ANSWER_MAX_AGE_MS = 800.0
 # An owner without the store goes on at most this long. In a longer outage what runs is
 # given up by its leases: an owner that is merely cut off would hold up its successor
 # for longer than starting the tasks again takes.
@@ -39,13 +44,19 @@
         virtual time), when a predecessor may renew them for 9 s.
         """
         workers = self._context.workers.values()
-        heard = sum(worker.asked_ms > now_ms - QUORUM_MS for worker in workers)
+        heard = sum(
+            worker.answered_poll_ms > now_ms - QUORUM_ANSWER_MAX_AGE_MS
+            for worker in workers
+        )
         return heard > 0 and heard >= SHARE * len(workers)
 
-    def inherit(self, now_ms):
+    def bound_inherited_leases(self, now_ms):
         """Bound what the predecessor's leases may keep alive on silent workers."""
         bound_ms = (
-            now_ms + self._membership_ms + OUTAGE_GRACE_MS + lease_span_ms(LEASE_MS)
+            now_ms
+            + self._membership_ms
+            + OUTAGE_GRACE_MS
+            + max_lease_duration_ms(LEASE_MS)
         )
         for worker in self._context.workers.values():
             worker.inherited_until_ms = bound_ms
@@ -60,12 +71,12 @@
             return
         self._won_ms = now_ms
         member_until_ms = self._context.taken_over_ms + self._membership_ms
-        renewed_until_ms = max(member_until_ms, now_ms + QUORUM_MS)
-        bound_ms = renewed_until_ms + lease_span_ms(LEASE_MS)
+        renewed_until_ms = max(member_until_ms, now_ms + QUORUM_ANSWER_MAX_AGE_MS)
+        bound_ms = renewed_until_ms + max_lease_duration_ms(LEASE_MS)
         for worker in self._context.workers.values():
             worker.inherited_until_ms = min(worker.inherited_until_ms, bound_ms)
 
 
-def lease_span_ms(lease_ms):
+def max_lease_duration_ms(lease_ms):
     """Return for how long at most a lease lasts that a worker's clock measures."""
-    return lease_ms * CLOCK_DRIFT + LEASE_MARGIN_MS
+    return lease_ms * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_MS
