--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_desk.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -14,16 +14,16 @@
     WorkerTicket,
 )
 
-from .members_heard import MembersHeard
-from .owner_watch import OWNER_BEAT_MS, OwnerWatch
-from .part_courier import PARTS_MESSAGES
+from .limit_part_router import LIMIT_PART_MESSAGES
+from .member_statuses import MemberStatuses
+from .owner_watch import OWNER_HEARTBEAT_MS, OwnerWatch
 
-__all__ = ["PeerDesk"]
+__all__ = ["PeerDispatcher"]
 
 # A member of the group keeps links to this many others beside the owner. Without them
 # it hears nobody but the owner and can't tell its silence from a cut of its own. Who is
 # no member judges nobody, and keeps none.
-NEIGHBOURS = 3
+NEIGHBOUR_LINKS = 3
 # While too few members are known, the group is read this often: a newcomer may have
 # read it before the others had joined.
 FIND_NEIGHBOURS_MS = 2_000.0
@@ -31,23 +31,23 @@
 LEAVE_MOST_MS = 600.0
 
 
-class PeerDesk:
+class PeerDispatcher:
     """Send heartbeats, keep links to owners, and hand messages on."""
 
     def __init__(self, *, daemon):
         self._daemon = daemon
-        self.members_heard = MembersHeard()
+        self.member_statuses = MemberStatuses()
         self._member_links = set()
         self._newcomers = set()
         self._owned_by_link = {}
-        self._gave_up_ms = {}
+        self._released_ms = {}
         self._without_store = set()
         self._leaving = set()
         self._moving_parts = set()
         self._asked_calls = set()
         self._neighbours_due_ms = 0.0
         self._owner_watch = None
-        daemon.timers.every(OWNER_BEAT_MS, self._beat)
+        daemon.timers.every(OWNER_HEARTBEAT_MS, self._send_owner_heartbeat)
 
     def send_heartbeats(self):
         """Tell the peers which cells are owned here."""
@@ -62,7 +62,7 @@
         links = {link.listener_address: link for link in self._member_links}
         return list(links.values())
 
-    def _beat(self):
+    def _send_owner_heartbeat(self):
         if self._daemon.membership.in_group and self._owner_watch is None:
             self._owner_watch = OwnerWatch(daemon=self._daemon)
         self._beat_as_owner()
@@ -72,7 +72,7 @@
         if not self._daemon.owners:
             return
         message = self._heartbeat()
-        message.speeds = self._daemon.learned_speeds.take_untold()
+        message.speeds = self._daemon.learned_speeds.take_unannounced()
         newcomers, self._newcomers = self._newcomers, set()
         for link in list(self._member_links):  # one that breaks leaves the set
             link.send(self._beat_with_all_speeds() if link in newcomers else message)
@@ -80,7 +80,7 @@
     def _beat_with_all_speeds(self):
         """Return the first heartbeat to a member, which missed what was told before."""
         message = self._heartbeat()
-        message.speeds = self._daemon.learned_speeds.of_owners()
+        message.speeds = self._daemon.learned_speeds.of_owned_cells()
         return message
 
     def _heartbeat(self):
@@ -114,7 +114,7 @@
             if address is None or address == self._daemon.settings.peer:
                 self._daemon.directory.refresh()
             else:
-                self._daemon.links.to(address)
+                self._daemon.links.open_link(address)
         if self._daemon.membership.in_group:
             self._keep_neighbours()
 
@@ -122,14 +122,14 @@
         """Keep links to a few members, drawn by hash, so that they differ."""
         own = self._daemon.settings.peer
         others = self._daemon.directory.members - {own}
-        if len(others) < NEIGHBOURS and steady_ms() >= self._neighbours_due_ms:
+        if len(others) < NEIGHBOUR_LINKS and steady_ms() >= self._neighbours_due_ms:
             self._neighbours_due_ms = steady_ms() + FIND_NEIGHBOURS_MS
             self._daemon.directory.refresh()
         ranked = sorted(
             others, key=lambda other: xxhash.xxh32_intdigest(f"{own}|{other}".encode())
         )
-        for address in ranked[:NEIGHBOURS]:
-            self._daemon.links.to(address)
+        for address in ranked[:NEIGHBOUR_LINKS]:
+            self._daemon.links.open_link(address)
 
     def on_message(self, link, message):
         """Hand a peer's message on."""
@@ -144,8 +144,8 @@
         elif isinstance(message, AdviceReply):
             self._on_advice_reply(message)
         elif isinstance(message, EndsHeard):
-            self._daemon.heard_ends.on_message(message)
-        elif isinstance(message, PARTS_MESSAGES):
+            self._daemon.heard_end_buffer.on_message(message)
+        elif isinstance(message, LIMIT_PART_MESSAGES):
             self._daemon.parts.on_message(message)
         else:
             self._on_links_changed()
@@ -164,7 +164,7 @@
 
     def _on_heartbeat(self, link, message):
         address = link.listener_address
-        self.members_heard.on_heartbeat(address, message)
+        self.member_statuses.on_heartbeat(address, message)
         if message.leaving:
             self._leaving.add(address)
         else:
@@ -182,24 +182,26 @@
             self._member_links.add(link)
         else:
             self._member_links.discard(link)  # it may stand by again
-        self._daemon.owned_cells.on_peer_owns(message.owned)
+        self._daemon.owned_cells.on_peer_ownership(message.owned)
         self._daemon.gateway.on_heartbeat(link, message)
         for call_id in message.withdrawn_calls or ():
             self._asked_calls.discard((link, call_id))
         for learned in message.speeds or ():
             self._daemon.learned_speeds.on_message(learned)
         for owned in message.owned:
-            self._daemon.heard_ends.on_owner(link, owned.cell, owned.epoch)
+            self._daemon.heard_end_buffer.forward_to_owner(
+                link, owned.cell, owned.epoch
+            )
         if self._owner_watch is not None:
             self._owner_watch.on_heartbeat(link, message)
         owned = {owned.cell for owned in message.owned}
         gives_up = bool(self._owned_by_link.get(link, set()) - owned)
         if gives_up:
-            self._gave_up_ms[link] = steady_ms()
+            self._released_ms[link] = steady_ms()
         has_left = message.leaving and not owned
         if gives_up or has_left or self._is_leaving_group(link, message):
             # A cell was given up: the next join brings it to its new owner.
-            self._daemon.membership.hurry()
+            self._daemon.membership.join_now()
         self._owned_by_link[link] = owned
 
     def withdraw_advice(self, link, call_ids):
@@ -219,7 +221,7 @@
         It says that it owns nothing once it decided so, and again when the leave was
         carried out, which alone has the next join bring the cell.
         """
-        gave_up_ms = self._gave_up_ms.get(link, float("-inf"))
+        gave_up_ms = self._released_ms.get(link, float("-inf"))
         return not message.in_group and steady_ms() - gave_up_ms < LEAVE_MOST_MS
 
     def _advise(self, link, message):
@@ -260,9 +262,9 @@
         """Route around a link that broke."""
         self._member_links.discard(link)
         self._newcomers.discard(link)
-        self.members_heard.forget(link.listener_address)
+        self.member_statuses.forget(link.listener_address)
         self._owned_by_link.pop(link, None)
-        self._gave_up_ms.pop(link, None)
+        self._released_ms.pop(link, None)
         self._daemon.gateway.on_link_broken(link)
         if link.was_refused:
             self._daemon.directory.remove_dead(link.address)
@@ -270,12 +272,12 @@
             for cell in range(self._daemon.layout.cells):
                 if self._daemon.directory.owner_of(cell) == link.address:
                     self._daemon.directory.forget(cell, link.address)
-        self._daemon.membership.hurry()
+        self._daemon.membership.join_now()
         if link.connected and link.address is not None:
             # If the process is gone, the new connection is refused at once.
-            self._daemon.links.to(link.address)
+            self._daemon.links.open_link(link.address)
         self._on_links_changed()
 
     def _on_links_changed(self):
         for owner in list(self._daemon.owners.values()):  # one that is lost leaves it
-            owner.on_links()
+            owner.on_links_changed()
--- a/packages/thymefork-daemon/src/thymefork_daemon/pending_request.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/pending_request.py
@@ -4,18 +4,18 @@
 
 from thymefork_net import steady_ms
 
-from .request_holder import RequestHolder
-from .request_tries import RequestTries
+from .owner_ref import OwnerRef
+from .request_attempts import RequestAttempts
 
 __all__ = ["PendingRequest"]
 
 
 @define(kw_only=True, eq=False)
 class PendingRequest:
-    """Follow one request; `tries` holds the owners that may have taken it.
+    """Follow one request; `open_attempts` holds the owners that may have taken it.
 
-    `earlier_numbers` are those that it was sent under before its present one. The
-    `holder` is the ownership that is expected to answer, None while one is looked
+    `earlier_call_ids` are those that it was sent under before its present one. The
+    `target` is the ownership that is expected to answer, None while one is looked
     for.
     """
 
@@ -29,9 +29,9 @@
     deadline_ms: float
     account_name: str = ""
     link: object = None
-    holder: RequestHolder | None = None
-    tries: RequestTries = field(factory=RequestTries)
-    earlier_numbers: list = field(factory=list)
+    target: OwnerRef | None = None
+    open_attempts: RequestAttempts = field(factory=RequestAttempts)
+    earlier_call_ids: list = field(factory=list)
     timer_id: int = 0
 
     def left_ms(self):
@@ -41,17 +41,17 @@
     @property
     def is_in_doubt(self):
         """Tell whether an owner may have carried it out, or may yet."""
-        return self.kind in ("submit", "cancel") and bool(self.tries)
+        return self.kind in ("submit", "cancel") and bool(self.open_attempts)
 
-    def belongs_to(self, owner):
+    def needs_resend_to(self, owner):
         """Tell whether an ownership, the newest that is known, has yet to get this."""
         if self.cell != owner.cell:
             return False
-        return self.holder is None or self.holder.gives_way_to(owner)
+        return self.target is None or self.target.is_superseded_by(owner)
 
-    def note_epoch(self, owner):
+    def update_epoch(self, owner):
         """Take note under which epoch the holder owns the cell, once that is heard."""
-        holder = self.holder
-        if holder is not None and holder.epoch is None:
-            if (holder.cell, holder.address) == (owner.cell, owner.address):
-                self.holder = owner
+        target = self.target
+        if target is not None and target.epoch is None:
+            if (target.cell, target.address) == (owner.cell, owner.address):
+                self.target = owner
--- a/packages/thymefork-daemon/src/thymefork_daemon/count_of_cells.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/queue_count.py
@@ -2,10 +2,10 @@
 
 from thymefork_cells import effects as fx
 
-__all__ = ["CountOfCells"]
+__all__ = ["QueueCount"]
 
 
-class CountOfCells:
+class QueueCount:
     """Add up the replies of all cells."""
 
     def __init__(self, *, cells, respond):
--- a/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
@@ -27,30 +27,30 @@
             or not daemon.layout.cells
         ):
             return False
-        if daemon.settings.orders_by_heartbeat:
+        if daemon.settings.commands_by_heartbeat:
             return False
         cells = range(daemon.layout.cells)
-        if not self.hears_owners:
+        if not self.hears_all_owners:
             self._unheard_since_ms = self._unheard_since_ms or steady_ms()
             return False
         self._unheard_since_ms = 0.0
         return all(self._owner_has_store(cell) for cell in cells)
 
     @property
-    def hears_owners(self):
+    def hears_all_owners(self):
         """Tell whether each cell's owner is here or was heard lately."""
         cells = range(self._daemon.layout.cells)
         return all(self._hears_owner(cell) for cell in cells)
 
     @property
-    def is_cut_off(self):
+    def is_disconnected(self):
         """Tell whether the others can serve what this instance, alone, can't.
 
         It has not heard an owner for so long that new connections go elsewhere, and
         does not reach the store either; without owners anywhere, that would answer.
         """
         self.check()
-        if self._daemon.reads_store or not self._unheard_since_ms:
+        if self._daemon.can_read_store or not self._unheard_since_ms:
             return False
         return steady_ms() - self._unheard_since_ms > OUT_OF_ROTATION_MS
 
@@ -61,7 +61,7 @@
         address = self._daemon.directory.owner_of(cell)
         if address is None:
             return False
-        return self._daemon.links.hears(address, OWNER_SILENCE_MS)
+        return self._daemon.links.is_responsive(address, OWNER_SILENCE_MS)
 
     def _owner_has_store(self, cell):
         """Tell whether a cell's owner can accept anything.
--- a/packages/thymefork-daemon/src/thymefork_daemon/request_tries.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/request_attempts.py
@@ -2,7 +2,7 @@
 
 from attrs import define, field, frozen
 
-__all__ = ["RequestTries"]
+__all__ = ["RequestAttempts"]
 
 
 @frozen(kw_only=True, eq=False)
@@ -18,7 +18,7 @@
 
 
 @define(kw_only=True, eq=False)
-class RequestTries:
+class RequestAttempts:
     """Follow the tries of one request that an owner may have taken, or may yet."""
 
     _open: list = field(factory=list, init=False)
@@ -43,7 +43,7 @@
         unsent = [
             row
             for row in self._open
-            if row.link is link and link.handed_bytes <= row.from_bytes
+            if row.link is link and link.written_bytes <= row.from_bytes
         ]
         self._open = [row for row in self._open if row not in unsent]
         return len(unsent)
--- a/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
@@ -4,7 +4,7 @@
 
 from thymefork_net import steady_ms
 
-from .departure import LEAVE_AGAIN_MS, STORE_MOST_MS, Departure
+from .departure import LEAVE_RETRY_MS, MAX_STORE_WAIT_MS, Departure
 
 __all__ = ["Shutdown"]
 
@@ -46,29 +46,31 @@
 
     def _leave(self):
         if self._has_to_stay():
-            self._daemon.timers.after(LEAVE_AGAIN_MS, self._leave)
+            self._daemon.timers.after(LEAVE_RETRY_MS, self._leave)
             return
         self._has_left = True
-        self._departure.leave("this instance stops", for_good=True)
+        self._departure.leave("this instance stops", permanent=True)
 
     def _has_to_stay(self):
         """Tell whether the cells are better kept for now."""
         owners, now_ms = self._daemon.owners.values(), steady_ms()
         give_up_ms = self._daemon.settings.stop_grace_ms - GIVE_UP_BEFORE_MS
-        if not owners or now_ms - self._began_ms > max(STORE_MOST_MS, give_up_ms):
+        if not owners or now_ms - self._began_ms > max(MAX_STORE_WAIT_MS, give_up_ms):
             return False
         if self._store_is_away():
             self._store_away_ms = now_ms
             return True
-        store_by_ms = max(self._began_ms, self._store_away_ms) + STORE_MOST_MS
-        return self._departure.has_unstored and now_ms < store_by_ms
+        store_by_ms = max(self._began_ms, self._store_away_ms) + MAX_STORE_WAIT_MS
+        return self._departure.has_unstored_records and now_ms < store_by_ms
 
     def _store_is_away(self):
         if self._daemon.membership.store_lost:
             return True
-        return not all(owner.store_answers for owner in self._daemon.owners.values())
+        return not all(
+            owner.is_store_responding for owner in self._daemon.owners.values()
+        )
 
-    def is_over(self):
+    def is_complete(self):
         """Tell whether everything is answered, or the time for it has passed."""
         if not self.has_begun:
             return False
--- a/packages/thymefork-daemon/src/thymefork_daemon/standby.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/standby.py
@@ -12,7 +12,7 @@
 
 # After a loss of all instances those of the best tier are back within about three
 # seconds.
-BETTER_RETURN_MS = 4_000.0
+BETTER_TIER_RETURN_MS = 4_000.0
 # Each tier between leaves the one above it the time to join and to be listed.
 NEXT_TIER_MS = 1_500.0
 # Where none is better than the least, this many take part: an owner, and two that can
@@ -21,7 +21,7 @@
 # All that stand by learn at once that members are missing. Each waits for its share
 # of this time, so that the first has joined, and is listed, before most have: the list
 # of members is read each 0.2 s while an owner is missing.
-SPREAD_MS = 1_200.0
+JOIN_JITTER_MS = 1_200.0
 # Missing members are waited for by seconds; a check wakes an idle instance.
 CHECK_MS = 100.0
 
@@ -30,7 +30,7 @@
     """Join at once, or in place of better members once those are missing.
 
     `owner_tier()` is the best tier among the owners that are heard, None if unknown;
-    `rest_until_ms()` is until when an instance that handed over stays out. One that is
+    `cooldown_until_ms()` is until when an instance that handed over stays out. One that is
     stopping joins no more.
     """
 
@@ -43,7 +43,7 @@
         layout,
         tier=Tier.LEAST,
         owner_tier=lambda: None,
-        rest_until_ms=lambda: 0.0,
+        cooldown_until_ms=lambda: 0.0,
         is_stopping=lambda: False,
     ):
         self._timers = timers
@@ -52,9 +52,9 @@
         self._layout = layout
         self._tier = tier
         self._owner_tier = owner_tier
-        self._rest_until_ms = rest_until_ms
+        self._rest_until_ms = cooldown_until_ms
         self._is_stopping = is_stopping
-        self._share_ms = random.uniform(0.0, SPREAD_MS)
+        self._share_ms = random.uniform(0.0, JOIN_JITTER_MS)
         self._missing_since_ms = None
         self._has_joined = False
 
@@ -86,7 +86,7 @@
         if self._missing_since_ms is None:
             self._missing_since_ms = now_ms
         is_over = now_ms - self._missing_since_ms > self._wait_ms()
-        if is_over and self._directory.count_holds:
+        if is_over and self._directory.is_count_fresh:
             self._step_in("too few instances take part in owning the cells")
         else:
             self._directory.refresh()  # another one may have stepped in
@@ -115,7 +115,7 @@
         if not better:
             return self._share_ms
         between_ms = (better - 1) * NEXT_TIER_MS
-        return BETTER_RETURN_MS + between_ms + self._share_ms
+        return BETTER_TIER_RETURN_MS + between_ms + self._share_ms
 
     def _step_in(self, reason):
         line = logger.bind(
--- a/packages/thymefork-daemon/src/thymefork_daemon/telling/log_budget.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/telemetry/log_rate_limiter.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-__all__ = ["ROUTINE_EVENTS", "LogBudget"]
+__all__ = ["ROUTINE_EVENTS", "LogRateLimiter"]
 
 # Six times what the busiest instance writes on a calm day.
 LINES_PER_SECOND = 150
@@ -30,16 +30,16 @@
 )
 
 
-class LogBudget:
+class LogRateLimiter:
     """Decide which lines are written; count by event those that are left out."""
 
     def __init__(self):
         self._second = -1
         self._written = Counter()
         self._totals = Counter()
-        self.left_out = Counter()
+        self.suppressed = Counter()
 
-    def admits(self, event, level, steady_s):
+    def allows(self, event, level, steady_s):
         """Tell whether a line is written; failures go before successes."""
         second = int(steady_s)
         if second != self._second:
@@ -50,16 +50,16 @@
         most = LINES_PER_SECOND * (2 if level in ("WARNING", "ERROR") else 1)
         most_of_event = LINES_PER_SECOND if event in JOB_EVENTS else LINES_PER_EVENT
         if self._totals[kind] >= most or self._written[event] >= most_of_event:
-            self.left_out[event] += 1
+            self.suppressed[event] += 1
             return False
         self._totals[kind] += 1
         self._written[event] += 1
         return True
 
-    def take_left_out(self):
+    def take_suppressed(self):
         """Return the counts of lines left out since the last call."""
-        counts = dict(self.left_out)
-        self.left_out.clear()
+        counts = dict(self.suppressed)
+        self.suppressed.clear()
         return counts
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/telling/logs.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/telemetry/logs.py
@@ -8,23 +8,23 @@
 
 from thymefork_net import steady_ms
 
-from .log_budget import LogBudget
+from .log_rate_limiter import LogRateLimiter
 
-__all__ = ["LogWriter", "setup_logs"]
+__all__ = ["LogWriter", "configure_logging"]
 
 # Lines that the reader of standard output has not taken yet; the oldest go first.
-MOST_WAITING_BYTES = 262_144
+MAX_BUFFERED_BYTES = 262_144
 
 
 class LogWriter:
     """Own standard output; drop and count what its reader does not take."""
 
-    def __init__(self, *, descriptor=1, always=None):
+    def __init__(self, *, descriptor=1, common_fields=None):
         self._descriptor = descriptor
-        self._always = always or {}
-        self._budget = LogBudget()
-        self._waiting = deque()
-        self._waiting_bytes = 0
+        self._always = common_fields or {}
+        self._budget = LogRateLimiter()
+        self._buffer = deque()
+        self._buffered_bytes = 0
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
@@ -34,7 +34,7 @@
         extra = record["extra"]
         event = extra.get("event", "line")
         level = record["level"].name
-        if not self._budget.admits(event, level, steady_ms() / 1000.0):
+        if not self._budget.allows(event, level, steady_ms() / 1000.0):
             return
         line = {
             "at": record["time"].isoformat(timespec="milliseconds"),
@@ -50,46 +50,46 @@
         self._write(orjson.dumps(line, default=str) + b"\n")
 
     def _write(self, data):
-        self._waiting.append(data)
-        self._waiting_bytes += len(data)
-        while self._waiting_bytes > MOST_WAITING_BYTES:
-            self._waiting_bytes -= len(self._waiting.popleft())
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
+        while self._buffered_bytes > MAX_BUFFERED_BYTES:
+            self._buffered_bytes -= len(self._buffer.popleft())
             self.dropped += 1
-        self.write_waiting()
+        self.flush_buffer()
 
-    def write_waiting(self):
+    def flush_buffer(self):
         """Write what the reader takes."""
-        while self._waiting:
-            data = self._waiting[0]
+        while self._buffer:
+            data = self._buffer[0]
             try:
                 count = os.write(self._descriptor, data)
             except BlockingIOError:
                 return
             except OSError:
                 # There is nowhere left to report that standard output is gone.
-                self.dropped += len(self._waiting)
-                self._waiting.clear()
-                self._waiting_bytes = 0
+                self.dropped += len(self._buffer)
+                self._buffer.clear()
+                self._buffered_bytes = 0
                 return
-            self._waiting_bytes -= count
+            self._buffered_bytes -= count
             if count < len(data):
-                self._waiting[0] = data[count:]
+                self._buffer[0] = data[count:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
 
     def summarize(self):
         """Write how many lines were left out, if any."""
-        counts = self._budget.take_left_out()
+        counts = self._budget.take_suppressed()
         if counts or self.dropped:
             line = logger.bind(event="lines_left_out", counts=counts)
             line.bind(dropped=self.dropped).warning("log lines were left out")
             self.dropped = 0
-        self.write_waiting()
+        self.flush_buffer()
 
 
-def setup_logs(level, **always):
+def configure_logging(level, **common_fields):
     """Write each line as JSON with the fields that were bound; return the writer."""
-    writer = LogWriter(always=always)
+    writer = LogWriter(common_fields=common_fields)
     logger.remove()
     logger.add(writer.sink, level=level, backtrace=False, diagnose=False, format="")
     return writer
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/conftest.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/conftest.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from .fakes import FakeTimers, use_clock
+from .fakes import FakeTimers, patch_clock
 
 
 @pytest.fixture
 def timers(monkeypatch, request):
-    """Return timers on a clock that the test moves; its module's `CLOCKED` read it."""
+    """Return timers on a clock that the test moves; its module's `CLOCK_MODULES` read it."""
     timers = FakeTimers()
-    use_clock(monkeypatch, timers, *request.module.CLOCKED)
+    patch_clock(monkeypatch, timers, *request.module.CLOCK_MODULES)
     return timers
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/fakes.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/fakes.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from thymefork_daemon import membership as membership_module
-from thymefork_daemon.capacity import OwnerLoad, Shedding, Tier
+from thymefork_daemon.capacity import LoadShedder, OwnerLoad, Tier
 
 
 class FakeTimers:
@@ -56,18 +56,18 @@
         pass
 
 
-class FailingOnce:
+class FailsOnceListener:
     """Fail as a listener once, then keep what is told."""
 
     def __init__(self):
         self.failures = 0
-        self.told = []
+        self.notifications = []
 
     def __call__(self, *news):
         if not self.failures:
             self.failures += 1
             raise RuntimeError("a listener failed")
-        self.told += news or [None]
+        self.notifications += news or [None]
 
 
 class FakeStore:
@@ -95,17 +95,17 @@
         on_done(self.leave_answer)
 
 
-def owning_parts(*, tier=Tier.FULL):
+def capacity_attributes(*, tier=Tier.FULL):
     """Return the parts of a daemon that tell how well it owns, as its attributes."""
     load = OwnerLoad(link_mbps=0.0)
     return {
         "capacity": SimpleNamespace(tier=tier),
-        "owner_load": SimpleNamespace(load=load, shedding=Shedding(load=load)),
+        "owner_load": SimpleNamespace(load=load, load_shedder=LoadShedder(load=load)),
         "handover": SimpleNamespace(best_tier=lambda: None),
     }
 
 
-def use_clock(monkeypatch, timers, *modules):
+def patch_clock(monkeypatch, timers, *modules):
     """Let modules read the timers' clock."""
     for module in (membership_module, *modules):
         monkeypatch.setattr(module, "steady_ms", lambda: timers.now_ms)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/store_in_turn.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/sequenced_store.py
@@ -13,50 +13,50 @@
 
 
 @define(kw_only=True, eq=False)
-class StoreInTurn:
-    """Answer after two ways and a turn; lose, delay and refuse what `draw` says.
+class SequencedStore:
+    """Answer after two ways and a turn; lose, delay and refuse what `draw_fault` says.
 
     `draw(number)` names a fault of the next call, or nothing. What got no answer is
     told as unknown after `timeout_ms`; from `fenced_from_ms` on another writes.
     """
 
     timers: object
-    way_ms: object = lambda: 3.0
-    turn_ms: object = lambda: 4.0
-    draw: object = lambda number: ""
-    late_ms: object = lambda: 3_000.0
+    latency_ms: object = lambda: 3.0
+    service_time_ms: object = lambda: 4.0
+    draw_fault: object = lambda number: ""
+    delayed_ms: object = lambda: 3_000.0
     timeout_ms: float = 1_000.0
     fenced_from_ms: float = float("inf")
     last_number: int = 0
-    free_ms: float = 0.0
+    free_at_ms: float = 0.0
     stored: list = field(factory=list)
     calls: int = 0
     open: int = 0
-    most_open: int = 0
+    max_open: int = 0
     arrived: set = field(factory=set)
-    repeats_take_turn: bool = True
+    repeats_cost_service_time: bool = True
 
     def append(self, *, records, sequence, on_result, **_):
         """Take a call; the answer comes later, once."""
         self.calls += 1
         self.open += 1
-        self.most_open = max(self.most_open, self.open)
+        self.max_open = max(self.max_open, self.open)
         call = _Call(
             store=self, records=records, sequence=sequence, on_result=on_result
         )
-        fault = self.draw(sequence)
+        fault = self.draw_fault(sequence)
         self.timers.after(self.timeout_ms, call.expire)
         if fault == "lost_call":
             return
-        way_ms = self.late_ms() if fault == "late_call" else self.way_ms()
-        self.timers.after(way_ms, lambda: call.arrive(fault))
+        latency_ms = self.delayed_ms() if fault == "late_call" else self.latency_ms()
+        self.timers.after(latency_ms, lambda: call.arrive(fault))
 
 
 @define(kw_only=True, eq=False)
 class _Call:
     """One call, answered once."""
 
-    store: StoreInTurn
+    store: SequencedStore
     records: list
     sequence: int
     on_result: object
@@ -71,19 +71,21 @@
         store = self.store
         if fault == "busy":
             result = AppendResult(outcome=AppendOutcome.NOT_STORED, error="503")
-            store.timers.after(store.way_ms(), lambda: self._answer(result))
+            store.timers.after(store.latency_ms(), lambda: self._answer(result))
             return
-        takes_turn = store.repeats_take_turn or self.sequence not in store.arrived
+        takes_turn = (
+            store.repeats_cost_service_time or self.sequence not in store.arrived
+        )
         store.arrived.add(self.sequence)
-        turn_ms = store.turn_ms() if takes_turn else 0.0
-        store.free_ms = max(store.timers.now_ms, store.free_ms) + turn_ms
-        store.timers.at(store.free_ms, lambda: self._carry_out(fault))
+        service_time_ms = store.service_time_ms() if takes_turn else 0.0
+        store.free_at_ms = max(store.timers.now_ms, store.free_at_ms) + service_time_ms
+        store.timers.at(store.free_at_ms, lambda: self._carry_out(fault))
 
     def _carry_out(self, fault):
         result = self._judge()
         if fault != "lost_answer":
-            way_ms = self.store.way_ms()
-            self.store.timers.after(way_ms, lambda: self._answer(result))
+            latency_ms = self.store.latency_ms()
+            self.store.timers.after(latency_ms, lambda: self._answer(result))
 
     def _judge(self):
         store, wanted = self.store, self.store.last_number + 1
@@ -94,7 +96,7 @@
             store.stored += self.records
         elif not 0 <= store.last_number - self.sequence < REMEMBERED_NUMBERS:
             return AppendResult(
-                outcome=AppendOutcome.OUT_OF_SEQUENCE, wanted_sequence=wanted
+                outcome=AppendOutcome.OUT_OF_SEQUENCE, expected_sequence=wanted
             )
         return AppendResult(outcome=AppendOutcome.STORED)
 
@@ -105,6 +107,6 @@
             self.on_result(result)
 
 
-def spread(rng: random.Random, mean_ms, share=0.15):
+def jittered(rng: random.Random, mean_ms, share=0.15):
     """Return a drawer of times around a mean."""
     return lambda: mean_ms * rng.uniform(1.0 - share, 1.0 + share)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/group_of_instances.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/simulated_group.py
@@ -4,13 +4,13 @@
 
 from thymefork_daemon.capacity import OwnerLoad, Tier
 from thymefork_daemon.handover import Handover
-from thymefork_daemon.members_heard import MembersHeard
+from thymefork_daemon.member_statuses import MemberStatuses
 from thymefork_daemon.standby import Standby
 from thymefork_net.peers import Heartbeat, OwnedCell
 
 from .fakes import FakeMetrics
 
-__all__ = ["STEP_MS", "Group"]
+__all__ = ["STEP_MS", "SimulatedGroup"]
 
 STEP_MS = 10
 BEAT_MS = 250
@@ -20,7 +20,7 @@
 class FakeMembership:
     """Be in the group or not; the group deals its one cell to the earliest member."""
 
-    is_asking = False
+    has_pending_join = False
     loses_leaves = False
     left_at_ms = None
 
@@ -39,7 +39,7 @@
         return self.in_group and not self._instance.has_store
 
     @property
-    def is_settled(self):
+    def is_stable(self):
         return self.in_group and self._instance.has_store
 
     def start(self):
@@ -53,7 +53,7 @@
             if self._instance not in self._group.members:
                 self._group.members.append(self._instance)
 
-    def leave(self, on_done, *, for_good=False):
+    def leave(self, on_done, *, permanent=False):
         """Leave; where the call is lost, the membership lapses instead."""
         self._wants = False
         self.left_at_ms = self._instance.timers.now_ms
@@ -91,7 +91,7 @@
 
     def __init__(self, tiers):
         self.tiers = set(tiers)
-        self.note_tier = self.tiers.add
+        self.add_tier = self.tiers.add
 
     @property
     def best_tier(self):
@@ -107,10 +107,10 @@
     def __init__(self, group, name, tier):
         self.name, self.tier = name, tier
         self.has_store = True
-        self.cut_at_ms = None
+        self.disconnected_at_ms = None
         self.is_up = True
-        self.told = 0
-        self.has_unstored = False
+        self.announcements = 0
+        self.has_unstored_records = False
         self.owners = {}
         self.timers = OwnTimers(group.timers, self)
         self.metrics = FakeMetrics()
@@ -118,11 +118,11 @@
         self.capacity = SimpleNamespace(tier=tier)
         self.owner_load = SimpleNamespace(load=OwnerLoad(link_mbps=0.0))
         self.peers = SimpleNamespace(
-            members_heard=MembersHeard(), send_heartbeats=lambda: group.beat(self)
+            member_statuses=MemberStatuses(), send_heartbeats=lambda: group.beat(self)
         )
         self.layout = FakeLayout(group.known)
         self.directory = SimpleNamespace(
-            member_count=0, count_holds=True, refresh=lambda: None
+            member_count=0, is_count_fresh=True, refresh=lambda: None
         )
         self.membership = FakeMembership(group, self)
         self.owned_cells = SimpleNamespace(update=self._update_cells)
@@ -133,8 +133,8 @@
             directory=self.directory,
             layout=self.layout,
             tier=tier,
-            owner_tier=lambda: self.peers.members_heard.owner_tier(),
-            rest_until_ms=lambda: self.handover.rest_until_ms,
+            owner_tier=lambda: self.peers.member_statuses.owner_tier(),
+            cooldown_until_ms=lambda: self.handover.cooldown_until_ms,
             is_stopping=lambda: self.is_stopping,
         )
 
@@ -144,18 +144,18 @@
         elif not self.owners:
             self.owners[0] = SimpleNamespace(
                 is_serving=not self.takes_over_slowly,
-                store_is_away=False,
-                has_unstored=False,
+                is_store_unavailable=False,
+                has_unstored_records=False,
                 epoch=1,
-                tell_ends=self._tell_ends,
+                announce_ends=self._announce_ends,
                 end=lambda reason: None,
             )
 
     def _update_cells(self):
         self.updates += 1
 
-    def _tell_ends(self):
-        self.told += 1
+    def _announce_ends(self):
+        self.announcements += 1
 
     @property
     def _is_serving(self):
@@ -176,7 +176,7 @@
         )
 
 
-class Group:
+class SimulatedGroup:
     """Any number of instances of several tiers, with one cell."""
 
     def __init__(self, timers, *, full=2, partial=2, least=3, known=None):
@@ -210,37 +210,44 @@
     def beat(self, sender):
         for other in self.instances:
             if other is not sender and other.is_up and sender.is_up:
-                other.peers.members_heard.on_heartbeat(sender.name, sender.heartbeat())
+                other.peers.member_statuses.on_heartbeat(
+                    sender.name, sender.heartbeat()
+                )
 
-    def lose(self, instances):
+    def stop(self, instances):
         for instance in instances:
             instance.is_up = False
             instance.membership._wants = False
             if instance in self.members:
                 self.members.remove(instance)
 
-    def bring_back(self, instances):
+    def restart(self, instances):
         for instance in instances:
             instance.is_up = True
             instance.standby.on_left()
 
-    def cut_from_store(self, instances):
+    def disconnect_from_store(self, instances):
         """Have the store grant nothing to some; their memberships lapse."""
         for instance in instances:
             instance.has_store = False
-            instance.cut_at_ms = self.timers.now_ms
+            instance.disconnected_at_ms = self.timers.now_ms
 
     def _lapse(self):
         for instance in list(self.members):
-            cut_at_ms = instance.cut_at_ms or instance.membership.left_at_ms
-            if cut_at_ms is not None and self.timers.now_ms - cut_at_ms > TTL_MS:
+            disconnected_at_ms = (
+                instance.disconnected_at_ms or instance.membership.left_at_ms
+            )
+            if (
+                disconnected_at_ms is not None
+                and self.timers.now_ms - disconnected_at_ms > TTL_MS
+            ):
                 self.members.remove(instance)
 
-    def mend(self, instances):
+    def reconnect_to_store(self, instances):
         """Have the store answer again."""
         for instance in instances:
             instance.has_store = True
-            instance.cut_at_ms = None
+            instance.disconnected_at_ms = None
 
     def run(self, for_ms):
         for _ in range(for_ms // STEP_MS):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advisers.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
@@ -2,12 +2,15 @@
 
 from types import SimpleNamespace
 
-from thymefork_cells.effects import AskAdvice
-from thymefork_daemon.owner import Advisers, advisers as advisers_module
+from thymefork_cells.effects import RequestAdvice
+from thymefork_daemon.owner import (
+    AdviceDispatcher,
+    advice_dispatcher as dispatcher_module,
+)
 
 from .fakes import FakeMetrics
 
-CLOCKED = (advisers_module,)
+CLOCK_MODULES = (dispatcher_module,)
 
 NAMES = [f"edge-{number}" for number in range(10)]
 
@@ -21,7 +24,7 @@
         self.sent.append(message)
 
 
-class OwnClient:
+class FakeAdviceClient:
     """Take this instance's own calls and leave them unanswered."""
 
     def __init__(self):
@@ -33,34 +36,34 @@
         self.wanted.append(wanted)
 
 
-def make(
+def make_dispatcher(
     timers,
     links,
-    turn,
+    run_cycle,
     on_answer=lambda *answer: None,
     instance="edge-own",
     client=None,
-    tell_withdrawn=lambda link, call_ids: None,
+    notify_withdrawn=lambda link, call_ids: None,
 ):
-    advisers = Advisers(
-        client=client or OwnClient(),
+    dispatcher = AdviceDispatcher(
+        client=client or FakeAdviceClient(),
         timers=timers,
         metrics=FakeMetrics(),
         instance=instance,
-        turn=turn,
+        run_cycle=run_cycle,
         on_answer=on_answer,
-        tell_withdrawn=tell_withdrawn,
+        notify_withdrawn=notify_withdrawn,
     )
-    advisers.update(links)
-    return advisers
+    dispatcher.update(links)
+    return dispatcher
 
 
 def long_call(name="s", cost_ms=900.0):
     step = SimpleNamespace(name=name, job=SimpleNamespace(is_live=True))
-    return AskAdvice(step=step, worker_ids=("w",), cost_ms=cost_ms, priority=1)
+    return RequestAdvice(step=step, worker_ids=("w",), cost_ms=cost_ms, priority=1)
 
 
-def note_steps(names):
+def record_steps(names):
     """Return a taker of answers that notes which steps they are for."""
     return lambda step, *answer: names.append(step.name)
 
@@ -75,18 +78,18 @@
 def test_two_owners_begin_with_different_instances(timers):
     """From cab-bogota-grown, scale-2: a harvest waited 12 s for its tickets (LOST)."""
     links = [FakeLink(name) for name in NAMES]
-    for turn in (0.0, 0.5):
-        advisers = make(timers, links, turn)
+    for run_cycle in (0.0, 0.5):
+        dispatcher = make_dispatcher(timers, links, run_cycle)
         for _ in range(4):
-            advisers.ask(long_call())
+            dispatcher.ask(long_call())
     assert max(len(link.sent) for link in links) == 1
 
 
 def test_a_call_waits_for_another_owners_call_at_the_same_instance(timers):
     links = [FakeLink("edge-0")]
-    advisers = make(timers, links, 0.0)
-    advisers.ask(long_call())
-    advisers.ask(long_call())
+    dispatcher = make_dispatcher(timers, links, 0.0)
+    dispatcher.ask(long_call())
+    dispatcher.ask(long_call())
     timers.run(2 * 900)  # both calls of two owners, one after the other
     assert len(links[0].sent) == 1
 
@@ -94,14 +97,16 @@
 def test_a_call_of_the_last_queue_is_made_though_urgent_ones_never_cease(timers):
     """From an overload by one kind of request: a step was never asked for (LOST)."""
     links = [FakeLink(name) for name in NAMES]
-    advisers = make(timers, links, 0.0)
+    dispatcher = make_dispatcher(timers, links, 0.0)
     for _ in range(20):
-        advisers.ask(long_call())
+        dispatcher.ask(long_call())
     step = SimpleNamespace(name="late", job=SimpleNamespace(is_live=True))
-    advisers.ask(AskAdvice(step=step, worker_ids=("w",), cost_ms=900.0, priority=2))
+    dispatcher.ask(
+        RequestAdvice(step=step, worker_ids=("w",), cost_ms=900.0, priority=2)
+    )
     for _ in range(12):
         timers.run(250)
-        advisers.ask(long_call())
+        dispatcher.ask(long_call())
         for link in links:
             if link.sent:
                 reply = SimpleNamespace(
@@ -110,8 +115,8 @@
                     tickets=[],
                     valid_ms=2_000,
                 )
-                advisers.on_reply(reply)
-                advisers.ask(long_call())
+                dispatcher.on_reply(reply)
+                dispatcher.ask(long_call())
     asked = [message.step for link in links for message in link.sent]
     assert "late" in asked
 
@@ -121,23 +126,25 @@
     link = FakeLink("edge-0")
     taken = {"one": [], "two": []}
     owners = {
-        name: make(timers, [link], 0.0, note_steps(steps), "edge-9")
+        name: make_dispatcher(timers, [link], 0.0, record_steps(steps), "edge-9")
         for name, steps in taken.items()
     }
-    for name, advisers in owners.items():
-        advisers.ask(long_call(f"step-of-{name}"))
+    for name, dispatcher in owners.items():
+        dispatcher.ask(long_call(f"step-of-{name}"))
     first, _ = link.sent
-    for advisers in owners.values():
-        advisers.on_reply(reply_to(first))
+    for dispatcher in owners.values():
+        dispatcher.on_reply(reply_to(first))
     assert taken == {"one": ["step-of-one"], "two": []}
 
 
 def test_an_answer_to_a_former_ownership_is_not_taken_by_the_next(timers):
     """From a review: the cell was lost and regained, and call ids began anew."""
     link, answers = FakeLink("edge-0"), []
-    former = make(timers, [link], 0.0, instance="edge-9")
+    former = make_dispatcher(timers, [link], 0.0, instance="edge-9")
     former.ask(long_call("former"))
-    following = make(timers, [link], 0.0, lambda *row: answers.append(row), "edge-9")
+    following = make_dispatcher(
+        timers, [link], 0.0, lambda *row: answers.append(row), "edge-9"
+    )
     following.ask(long_call("following"))
     following.on_reply(reply_to(link.sent[0]))
     assert not answers
@@ -147,11 +154,11 @@
     """From a review: an adviser was failed, and so free, before it was forgotten."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
     answered = []
-    advisers = make(timers, links, 0.0, note_steps(answered))
+    dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for name in "abc":  # two of the four instances take long calls: the third waits
-        advisers.ask(long_call(name))
+        dispatcher.ask(long_call(name))
     links[0].sent.clear()
-    advisers.update(links[1:])
+    dispatcher.update(links[1:])
     assert answered == ["a"]
     assert not links[0].sent
 
@@ -160,24 +167,24 @@
     """From a review: `update` came again from within and met what it had deleted."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
     answered = []
-    advisers = make(timers, links, 0.0, note_steps(answered))
+    dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for name in "abcde":  # one for each instance, and one that waits
-        advisers.ask(long_call(name, cost_ms=100.0))
-    newcomer = FakeLink("edge-3")
-    newcomer.send = lambda message: advisers.update([])
-    advisers.update([*links[1:], newcomer])
+        dispatcher.ask(long_call(name, cost_ms=100.0))
+    new_link = FakeLink("edge-3")
+    new_link.send = lambda message: dispatcher.update([])
+    dispatcher.update([*links[1:], new_link])
     assert sorted(answered) == ["b", "c", "d", "e"]  # the own instance works on a
 
 
 def test_a_long_call_goes_out_though_all_links_break_under_a_short_one(timers):
     """From a review: what had been put aside was put back without another look."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
-    client = OwnClient()
-    advisers = make(timers, links, 0.25, client=client)
+    client = FakeAdviceClient()
+    dispatcher = make_dispatcher(timers, links, 0.25, client=client)
     for name in ("long-1", "long-2", "long-3"):  # edge-1 and edge-2 take long calls
-        advisers.ask(long_call(name))
-    links[0].send = lambda message: advisers.update([])
-    advisers.ask(long_call("short", cost_ms=100.0))
+        dispatcher.ask(long_call(name))
+    links[0].send = lambda message: dispatcher.update([])
+    dispatcher.ask(long_call("short", cost_ms=100.0))
     assert client.asked == ["long-3"]
 
 
@@ -185,14 +192,14 @@
     """From a review: nobody looked again, and the step was never asked for."""
     links = [FakeLink(name) for name in NAMES]
     answered = []
-    advisers = make(timers, links, 0.0, note_steps(answered))
+    dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
     for number in range(7):  # as many as there are instances for long calls
-        advisers.ask(long_call(f"s{number}"))
+        dispatcher.ask(long_call(f"s{number}"))
     timers.run(3_500)  # none is answered, and all seven are paused
     assert len(answered) == 7
     for link in links:
         link.sent.clear()
-    advisers.ask(long_call("again"))
+    dispatcher.ask(long_call("again"))
     assert not any(link.sent for link in links)
     timers.run(1_500)
     assert [row.step for link in links for row in link.sent] == ["again"]
@@ -201,128 +208,133 @@
 def test_what_was_put_aside_is_not_sent_after_an_end_from_within(timers):
     """A link that breaks under a send may lose the cell."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
-    client = OwnClient()
-    advisers = make(timers, links, 0.25, client=client)
+    client = FakeAdviceClient()
+    dispatcher = make_dispatcher(timers, links, 0.25, client=client)
     for name in ("long-1", "long-2", "long-3"):  # edge-1 and edge-2 take long calls
-        advisers.ask(long_call(name))
-    links[0].send = lambda message: advisers.end()
-    advisers.ask(long_call("short", cost_ms=100.0))
-    advisers.update([])
+        dispatcher.ask(long_call(name))
+    links[0].send = lambda message: dispatcher.end()
+    dispatcher.ask(long_call("short", cost_ms=100.0))
+    dispatcher.update([])
     assert not client.asked
 
 
 def test_a_call_takes_a_slot_until_it_is_answered(timers):
     links = [FakeLink(f"edge-{number}") for number in range(9)]
-    advisers = make(timers, links, 0.0)
-    assert (advisers.slots.any_call, advisers.slots.long_call) == (10, 7)
-    advisers.ask(long_call())
-    assert (advisers.slots.any_call, advisers.slots.long_call) == (9, 6)
+    dispatcher = make_dispatcher(timers, links, 0.0)
+    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (10, 7)
+    dispatcher.ask(long_call())
+    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (9, 6)
     [asked] = [link.sent[0] for link in links if link.sent]
-    advisers.on_reply(reply_to(asked))
-    assert (advisers.slots.any_call, advisers.slots.long_call) == (10, 7)
+    dispatcher.on_reply(reply_to(asked))
+    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (10, 7)
 
 
 def test_a_paused_instance_has_no_slot(timers):
-    advisers = make(timers, [FakeLink("edge-0")], 0.0)
-    advisers.ask(long_call())
+    dispatcher = make_dispatcher(timers, [FakeLink("edge-0")], 0.0)
+    dispatcher.ask(long_call())
     timers.run(3_300)  # it is not answered, and the instance is paused
-    assert (advisers.slots.any_call, advisers.slots.long_call) == (1, 0)
+    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (1, 0)
 
 
 def test_long_calls_may_take_nearly_all_instances_while_short_ones_are_few(timers):
     """From cab-bogota, shifted: nine of 29 instances idled beside steps that waited."""
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
-    advisers = make(timers, links, 0.0)
-    assert advisers.slots.long_call == 14
+    dispatcher = make_dispatcher(timers, links, 0.0)
+    assert dispatcher.slots.long_call == 14
     timers.run(5_100)
-    advisers.ask(long_call())
-    assert advisers.slots.long_call == 18
+    dispatcher.ask(long_call())
+    assert dispatcher.slots.long_call == 18
 
 
 def test_instances_are_kept_for_as_many_short_calls_as_there_were(timers):
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
-    advisers = make(timers, links, 0.0)
+    dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
     for _ in range(2):
-        advisers.ask(long_call(cost_ms=60.0))
-    assert advisers.slots.long_call == 15  # of 20, with five kept for twice two and one
+        dispatcher.ask(long_call(cost_ms=60.0))
+    assert (
+        dispatcher.slots.long_call == 15
+    )  # of 20, with five kept for twice two and one
 
 
 def test_short_calls_are_kept_room_for_as_soon_as_there_are_some(timers):
     """After a time without any, a rise was not noted for five seconds."""
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
-    advisers = make(timers, links, 0.0)
+    dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
-    advisers.ask(long_call())
-    assert advisers.slots.long_call == 18
+    dispatcher.ask(long_call())
+    assert dispatcher.slots.long_call == 18
     timers.run(100)
     for _ in range(2):
-        advisers.ask(long_call(cost_ms=60.0))
-    assert advisers.slots.long_call == 14  # of 20, five are kept and one is under way
+        dispatcher.ask(long_call(cost_ms=60.0))
+    assert dispatcher.slots.long_call == 14  # of 20, five are kept and one is under way
 
 
-def leave(call):
+def end_job(call):
     """Let a call's job end."""
     call.step.job.is_live = False
 
 
 def test_what_waits_for_jobs_that_have_ended_takes_no_slot(timers):
-    advisers = make(timers, [FakeLink("edge-0")], 0.0)
+    dispatcher = make_dispatcher(timers, [FakeLink("edge-0")], 0.0)
     calls = [long_call(f"s{number}") for number in range(6)]
     for call in calls:
-        advisers.ask(call)
-    assert advisers.slots.any_call == -4  # one is under way, five wait for long calls
+        dispatcher.ask(call)
+    assert dispatcher.slots.any_call == -4  # one is under way, five wait for long calls
     for call in calls[1:]:
-        leave(call)
-    slots = advisers.wanted_slots()
+        end_job(call)
+    slots = dispatcher.current_slots()
     assert (slots.any_call, slots.long_call) == (1, 0)
 
 
 def test_another_instance_is_told_once_of_a_call_in_vain(timers):
-    told = []
+    notified = []
     link = FakeLink("edge-0")
-    advisers = make(
-        timers, [link], 0.0, tell_withdrawn=lambda link, ids: told.append((link, ids))
+    dispatcher = make_dispatcher(
+        timers,
+        [link],
+        0.0,
+        notify_withdrawn=lambda link, ids: notified.append((link, ids)),
     )
     call, stays = long_call("leaves"), long_call("stays")
-    advisers.ask(call)
-    advisers.ask(stays)
-    advisers.wanted_slots()
-    assert not told
-    leave(call)
+    dispatcher.ask(call)
+    dispatcher.ask(stays)
+    dispatcher.current_slots()
+    assert not notified
+    end_job(call)
     for _ in range(3):
-        advisers.wanted_slots()
-    assert told == [(link, [link.sent[0].call_id])]
+        dispatcher.current_slots()
+    assert notified == [(link, [link.sent[0].call_id])]
     reply = reply_to(link.sent[0])
     reply.answered = False
-    advisers.on_reply(reply)
+    dispatcher.on_reply(reply)
     assert [message.step for message in link.sent] == ["leaves", "stays"]
 
 
 def test_an_own_call_that_has_not_left_is_not_made_in_vain(timers):
-    client = OwnClient()
-    advisers = make(timers, [], 0.0, client=client)
+    client = FakeAdviceClient()
+    dispatcher = make_dispatcher(timers, [], 0.0, client=client)
     call = long_call()
-    advisers.ask(call)
+    dispatcher.ask(call)
     (wanted,) = client.wanted
     assert wanted()
-    leave(call)
+    end_job(call)
     assert not wanted()
 
 
 def test_a_link_that_breaks_under_the_news_of_a_call_in_vain(timers):
     links = [FakeLink("edge-0"), FakeLink("edge-1")]
-    told = []
+    notified = []
 
-    def tell(link, call_ids):
-        told.append(call_ids)
-        advisers.update([])
+    def notify(link, call_ids):
+        notified.append(call_ids)
+        dispatcher.update([])
 
-    advisers = make(timers, links, 0.0, tell_withdrawn=tell)
+    dispatcher = make_dispatcher(timers, links, 0.0, notify_withdrawn=notify)
     calls = [long_call(f"s{n}", cost_ms=100.0) for n in range(3)]
     for call in calls:
-        advisers.ask(call)
+        dispatcher.ask(call)
     for call in calls:
-        leave(call)
-    assert advisers.wanted_slots().any_call == 0  # the own one is busy still
-    assert len(told) == 1
+        end_job(call)
+    assert dispatcher.current_slots().any_call == 0  # the own one is busy still
+    assert len(notified) == 1
--- /dev/null
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_failures.py
@@ -0,0 +1,347 @@
+"""Failures with several appends under way: lost, late, early, refused, fenced.
+
+The store holds the batches in order, each once; a batch is told as stored only when it
+and all before it are, and is given back only if it never will be.
+"""
+
+import random
+
+import pytest
+
+from thymefork_cells.jobs.journal import Batch
+from thymefork_daemon.owner import append_pipeline
+from thymefork_daemon.owner.append_pipeline import AppendPipeline
+from thymefork_daemon.owner.cell_partition import CellPartition
+from thymefork_machines.store import AppendOutcome, AppendResult
+
+from .fakes import FakeMetrics, FakeStore
+from .sequenced_store import FAULTS, SequencedStore, jittered
+
+CLOCK_MODULES = (append_pipeline,)
+SLOW_ANSWER_MS = 300.0
+CASES = 400
+FAULTS_UNTIL_MS = 6_000.0
+RECOVERY_MS = 12_000.0
+
+
+class Writer:
+    """Hand batches to a pump, and keep what it tells of them."""
+
+    def __init__(self, timers, store, may_write=lambda: True):
+        self.store = store
+        self.metrics = FakeMetrics()
+        self.sent, self.stored, self.returned, self.lost = [], [], [], []
+        self.pipeline = AppendPipeline(
+            partition=CellPartition(store=store, cell=0, partition=7, epoch=5),
+            timers=timers,
+            metrics=self.metrics,
+            last_sequence=0,
+            may_write=may_write,
+            on_ownership_lost=self.lost.append,
+        )
+
+    def send(self, *keys):
+        batch = Batch()
+        for key in keys:
+            batch.add(key, b"v")
+        self.sent.append(batch)
+        self.pipeline.send(batch, self.stored.append, self.returned.append)
+        return batch
+
+
+@pytest.fixture
+def writer(timers):
+    """Return a writer with three appends under way at a slow store."""
+    writer = Writer(timers, FakeStore())
+    writer.send("slow")
+    timers.run(SLOW_ANSWER_MS)
+    answer(writer, 0, AppendOutcome.STORED)
+    writer.sent.clear()
+    writer.stored.clear()
+    for key in "abc":
+        timers.run(SLOW_ANSWER_MS / 2)
+        writer.send(key)
+    return writer
+
+
+def answer(writer, call, outcome, wanted=-1):
+    """Answer a call; 0 is the one that showed the store to be slow."""
+    result = AppendResult(outcome=outcome, expected_sequence=wanted)
+    writer.store.appends[call]["on_result"](result)
+
+
+def calls_with_sequence(writer, sequence):
+    """Return which calls, in their order, were made under a number."""
+    appends = enumerate(writer.store.appends)
+    return [index for index, call in appends if call["sequence"] == sequence]
+
+
+def test_each_of_several_has_the_number_after_the_one_before(writer):
+    sequences = [call["sequence"] for call in writer.store.appends]
+    assert list(dict.fromkeys(sequences)) == [1, 2, 3, 4]
+
+
+def test_what_is_answered_first_tells_of_those_before_it(writer):
+    answer(writer, calls_with_sequence(writer, 3)[0], AppendOutcome.STORED)
+    assert writer.stored == writer.sent[:2]
+    answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.STORED)
+    assert writer.stored == writer.sent[:2]
+    answer(writer, calls_with_sequence(writer, 4)[0], AppendOutcome.STORED)
+    assert writer.stored == writer.sent
+
+
+@pytest.mark.parametrize("lost", [2, 3, 4])
+def test_a_lost_answer_of_any_of_them_holds_up_none_for_good(writer, timers, lost):
+    for sequence in (2, 3, 4):
+        if sequence != lost:
+            answer(
+                writer, calls_with_sequence(writer, sequence)[0], AppendOutcome.STORED
+            )
+    answer(writer, calls_with_sequence(writer, lost)[0], AppendOutcome.UNKNOWN)
+    timers.run(100)
+    if lost == 4:
+        assert len(calls_with_sequence(writer, 4)) == 2
+        answer(writer, calls_with_sequence(writer, 4)[-1], AppendOutcome.STORED)
+    assert writer.stored == writer.sent and not writer.returned
+
+
+def test_one_that_came_too_early_is_sent_again_once_what_it_follows_is_stored(writer):
+    answer(
+        writer,
+        calls_with_sequence(writer, 3)[0],
+        AppendOutcome.OUT_OF_SEQUENCE,
+        wanted=2,
+    )
+    answer(
+        writer,
+        calls_with_sequence(writer, 4)[0],
+        AppendOutcome.OUT_OF_SEQUENCE,
+        wanted=2,
+    )
+    assert not writer.lost and not writer.stored
+    assert len(calls_with_sequence(writer, 3)) == 1
+    answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.STORED)
+    assert (
+        len(calls_with_sequence(writer, 3)) == len(calls_with_sequence(writer, 4)) == 2
+    )
+    answer(writer, calls_with_sequence(writer, 4)[1], AppendOutcome.STORED)
+    assert writer.stored == writer.sent
+
+
+def test_an_early_one_heard_of_late_is_sent_again_at_once(writer):
+    answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.STORED)
+    answer(
+        writer,
+        calls_with_sequence(writer, 3)[0],
+        AppendOutcome.OUT_OF_SEQUENCE,
+        wanted=2,
+    )
+    assert len(calls_with_sequence(writer, 3)) == 2 and not writer.lost
+
+
+def test_a_number_that_is_wanted_tells_that_those_below_it_are_stored(writer):
+    answer(
+        writer,
+        calls_with_sequence(writer, 4)[0],
+        AppendOutcome.OUT_OF_SEQUENCE,
+        wanted=3,
+    )
+    assert writer.stored == writer.sent[:1]
+    assert len(calls_with_sequence(writer, 4)) == 2
+
+
+def test_one_that_follows_what_is_stored_can_t_come_too_early(writer):
+    answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.STORED)
+    answer(
+        writer,
+        calls_with_sequence(writer, 3)[0],
+        AppendOutcome.OUT_OF_SEQUENCE,
+        wanted=2,
+    )
+    answer(
+        writer,
+        calls_with_sequence(writer, 3)[1],
+        AppendOutcome.OUT_OF_SEQUENCE,
+        wanted=2,
+    )
+    assert writer.lost == ["out_of_sequence"]
+
+
+def test_all_come_back_the_last_first_once_none_can_be_stored(writer):
+    answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.NOT_STORED)
+    answer(
+        writer,
+        calls_with_sequence(writer, 3)[0],
+        AppendOutcome.OUT_OF_SEQUENCE,
+        wanted=2,
+    )
+    assert not writer.returned
+    answer(
+        writer,
+        calls_with_sequence(writer, 4)[0],
+        AppendOutcome.OUT_OF_SEQUENCE,
+        wanted=2,
+    )
+    assert writer.returned == writer.sent[::-1] and writer.pipeline.is_store_unavailable
+    writer.send("d")
+    assert writer.store.appends[-1]["sequence"] == 2
+
+
+def test_nothing_comes_back_while_one_after_it_is_in_doubt(writer, timers):
+    """A late call of the third, after a new second, would store it a second time."""
+    answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.NOT_STORED)
+    answer(writer, calls_with_sequence(writer, 3)[0], AppendOutcome.UNKNOWN)
+    answer(
+        writer,
+        calls_with_sequence(writer, 4)[0],
+        AppendOutcome.OUT_OF_SEQUENCE,
+        wanted=2,
+    )
+    assert not writer.returned
+    timers.run(100)
+    answer(writer, calls_with_sequence(writer, 2)[1], AppendOutcome.NOT_STORED)
+    assert not writer.returned
+    timers.run(100)
+    answer(writer, calls_with_sequence(writer, 2)[2], AppendOutcome.STORED)
+    answer(writer, calls_with_sequence(writer, 4)[1], AppendOutcome.STORED)
+    assert writer.stored == writer.sent
+
+
+def test_one_in_the_middle_that_is_turned_away_is_sent_again(writer):
+    answer(writer, calls_with_sequence(writer, 3)[0], AppendOutcome.NOT_STORED)
+    answer(writer, calls_with_sequence(writer, 2)[0], AppendOutcome.STORED)
+    answer(
+        writer,
+        calls_with_sequence(writer, 4)[0],
+        AppendOutcome.OUT_OF_SEQUENCE,
+        wanted=3,
+    )
+    assert not writer.returned and len(calls_with_sequence(writer, 3)) == 2
+    answer(writer, calls_with_sequence(writer, 3)[1], AppendOutcome.STORED)
+    answer(writer, calls_with_sequence(writer, 4)[1], AppendOutcome.STORED)
+    assert writer.stored == writer.sent
+
+
+@pytest.mark.parametrize("sequence", [2, 3, 4])
+def test_a_fence_ends_all_of_them(writer, timers, sequence):
+    answer(writer, calls_with_sequence(writer, sequence)[0], AppendOutcome.FENCED)
+    assert writer.lost == ["fenced"]
+    count = len(writer.store.appends)
+    timers.run(3_000)
+    assert len(writer.store.appends) == count
+    assert not writer.stored and not writer.returned
+
+
+def test_an_owner_that_ends_on_the_way_is_told_of_no_more(writer):
+    def end(batch):
+        writer.stored.append(batch)
+        writer.pipeline.end()
+
+    writer.pipeline._in_flight[0].on_stored = end
+    answer(writer, calls_with_sequence(writer, 4)[0], AppendOutcome.STORED)
+    assert writer.stored == writer.sent[:1]
+
+
+def test_a_batch_without_records_waits_for_those_before_it(writer):
+    writer.send()
+    assert not writer.stored
+    answer(writer, calls_with_sequence(writer, 4)[0], AppendOutcome.STORED)
+    assert writer.stored == writer.sent
+
+
+def test_a_listener_that_fails_holds_up_none_after_it(writer):
+    def fail(batch):
+        raise RuntimeError
+
+    writer.pipeline._in_flight[0].on_stored = fail
+    with pytest.raises(RuntimeError):
+        answer(writer, calls_with_sequence(writer, 4)[0], AppendOutcome.STORED)
+    assert writer.stored == writer.sent[1:]
+
+
+class RandomFaultCase:
+    """Write at random to a store that fails at random."""
+
+    def __init__(self, timers, seed):
+        self._timers, self._rng = timers, random.Random(seed)
+        self._started_ms = timers.now_ms
+        self._fault_probability = self._rng.choice([0.05, 0.2, 0.5])
+        self._faults = self._rng.sample(FAULTS, self._rng.randint(1, len(FAULTS)))
+        self._may_write = True
+        latency_ms = self._rng.choice([20.0, 70.0, 150.0])
+        store = SequencedStore(
+            timers=timers,
+            latency_ms=jittered(self._rng, latency_ms, self._rng.choice([0.1, 0.9])),
+            service_time_ms=jittered(self._rng, self._rng.choice([4.0, 100.0])),
+            draw_fault=self._draw,
+            delayed_ms=lambda: self._rng.uniform(500.0, 6_000.0),
+            repeats_cost_service_time=self._rng.random() < 0.5,
+        )
+        if seed % 4 == 0:
+            store.fenced_from_ms = timers.now_ms + self._rng.uniform(500.0, 5_000.0)
+        self.writer = Writer(timers, store, lambda: self._may_write)
+        self.confirmed, self.refused, self.waiting = [], [], []
+        self._next_key = 0
+        self._retry_ms = 0.0
+        self.max_sent = 0
+        self._step()
+
+    def _is_failing(self):
+        return self._timers.now_ms - self._started_ms < FAULTS_UNTIL_MS
+
+    def _draw(self, sequence):
+        if not self._is_failing() or self._rng.random() > self._fault_probability:
+            return ""
+        return self._rng.choice(self._faults)
+
+    def _step(self):
+        """Decide, send if the pump takes it, and be sure of the cell or not."""
+        self._may_write = not self._is_failing() or self._rng.random() > 0.05
+        if self._is_failing() and self._rng.random() < 0.5:
+            self._next_key += 1
+            self.waiting.append(f"{self._next_key}")
+        pipeline, now_ms = self.writer.pipeline, self._timers.now_ms
+        next_send_ms = pipeline.next_send_ms
+        is_open = (
+            next_send_ms is not None and max(next_send_ms, self._retry_ms) <= now_ms
+        )
+        if is_open and not self.writer.lost:
+            if self.waiting or self._rng.random() < 0.05:
+                self._send()
+        self._timers.after(10.0, self._step)
+
+    def _send(self):
+        batch = Batch()
+        for key in self.waiting:
+            batch.add(key, b"v")
+        self.waiting = []
+        self.writer.pipeline.send(batch, self._on_stored, self._on_returned)
+        self.max_sent = max(self.max_sent, len(self.writer.pipeline._in_flight))
+
+    def _on_stored(self, batch):
+        stored = {key for key, _ in self.writer.store.stored}
+        self.confirmed += [key for key, _ in batch.records]
+        assert stored >= set(self.confirmed)
+
+    def _on_returned(self, batch):
+        """Refuse every other one, let the rest wait again before all others."""
+        keys = [key for key, _ in batch.records]
+        self.refused += keys[::2]
+        self.waiting = keys[1::2] + self.waiting
+        self._retry_ms = self._timers.now_ms + 60.0
+
+
+@pytest.mark.parametrize("seed", range(CASES))
+def test_whatever_fails_each_batch_is_stored_once_and_in_order(timers, seed):
+    case = RandomFaultCase(timers, seed)
+    timers.run(FAULTS_UNTIL_MS + RECOVERY_MS)
+    stored = [key for key, _ in case.writer.store.stored]
+    assert stored == sorted(set(stored), key=int)
+    assert case.confirmed == stored[: len(case.confirmed)]
+    assert not set(case.refused) & set(stored)
+    if case.writer.lost:
+        assert seed % 4 == 0 and case.writer.lost == ["fenced"]
+        return
+    assert not case.waiting and not case.writer.pipeline.is_busy
+    assert case.confirmed == stored
+    assert len(stored) + len(case.refused) == case._next_key
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_appends_overlapping.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_append_overlap.py
@@ -11,39 +11,39 @@
 import pytest
 
 from thymefork_cells.jobs.journal import Batch
-from thymefork_daemon.owner import append_pump, append_window
-from thymefork_daemon.owner.append_pump import AppendPump
+from thymefork_daemon.owner import append_pipeline, append_window
+from thymefork_daemon.owner.append_pipeline import AppendPipeline
 from thymefork_daemon.owner.cell_partition import CellPartition
 
 from .fakes import FakeMetrics
-from .store_in_turn import StoreInTurn, spread
+from .sequenced_store import SequencedStore, jittered
 
-CLOCKED = (append_pump,)
-TURN_MS = 4.0
+CLOCK_MODULES = (append_pipeline,)
+CYCLE_MS = 4.0
 DECISIONS_PER_S = 60
 LOAD_MS = 6_000.0
-ONE_AT_A_TIME = 1
-AS_MANY_AS_GAIN = append_window.MOST_UNDER_WAY
+SEQUENTIAL = 1
+OVERLAPPING = append_window.MAX_IN_FLIGHT
 
 
-class Decisions:
+class DecisionLoad:
     """Decide all the time; what waits leaves with the next batch."""
 
     def __init__(self, timers, store, rng):
         self._timers, self._rng = timers, rng
         self.waits_ms = []
         self._waiting = []
-        self.pump = AppendPump(
+        self.pipeline = AppendPipeline(
             partition=CellPartition(store=store, cell=0, partition=7, epoch=5),
             timers=timers,
             metrics=FakeMetrics(),
             last_sequence=0,
             may_write=lambda: True,
-            on_lost=lambda reason: pytest.fail(reason),
+            on_ownership_lost=lambda reason: pytest.fail(reason),
         )
         self._until_ms = timers.now_ms + LOAD_MS
         self._decide()
-        self._turn()
+        self._cycle()
 
     def _decide(self):
         if self._timers.now_ms < self._until_ms:
@@ -51,32 +51,40 @@
             apart_ms = self._rng.expovariate(DECISIONS_PER_S / 1_000.0)
             self._timers.after(apart_ms, self._decide)
 
-    def _turn(self):
-        open_ms = self.pump.open_ms
-        if self._waiting and open_ms is not None and open_ms <= self._timers.now_ms:
+    def _cycle(self):
+        next_send_ms = self.pipeline.next_send_ms
+        if (
+            self._waiting
+            and next_send_ms is not None
+            and next_send_ms <= self._timers.now_ms
+        ):
             decided, self._waiting = self._waiting, []
             batch = Batch()
             for number, _ in enumerate(decided):
                 batch.add(f"{number}", b"v")
-            self.pump.send(batch, lambda _: self._note(decided), pytest.fail)
-        self._timers.after(TURN_MS, self._turn)
+            self.pipeline.send(
+                batch, lambda _: self._record_waits(decided), pytest.fail
+            )
+        self._timers.after(CYCLE_MS, self._cycle)
 
-    def _note(self, decided):
+    def _record_waits(self, decided):
         self.waits_ms += [self._timers.now_ms - at_ms for at_ms in decided]
 
 
-def play(timers, monkeypatch, most, *, way_ms, turn_ms, seed=1):
+def run_load(
+    timers, monkeypatch, max_in_flight, *, latency_ms, service_time_ms, seed=1
+):
     """Return the mean wait from a decision to its answered append, and the store."""
-    monkeypatch.setattr(append_window, "MOST_UNDER_WAY", most)
-    monkeypatch.setattr(append_window, "FIRST_UNDER_WAY", min(2.0, most))
+    monkeypatch.setattr(append_window, "MAX_IN_FLIGHT", max_in_flight)
+    monkeypatch.setattr(append_window, "INITIAL_IN_FLIGHT", min(2.0, max_in_flight))
     rng = random.Random(seed)
-    store = StoreInTurn(
+    store = SequencedStore(
         timers=timers,
-        way_ms=spread(rng, way_ms),
-        turn_ms=spread(rng, turn_ms, 0.02),
-        repeats_take_turn=False,
+        latency_ms=jittered(rng, latency_ms),
+        service_time_ms=jittered(rng, service_time_ms, 0.02),
+        repeats_cost_service_time=False,
     )
-    decisions = Decisions(timers, store, rng)
+    decisions = DecisionLoad(timers, store, rng)
     timers.run(LOAD_MS + 3_000.0)
     waits_ms = decisions.waits_ms
     assert len(waits_ms) > 0.8 * DECISIONS_PER_S * LOAD_MS / 1_000.0
@@ -84,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "way_ms, turn_ms, most_share",
+    "latency_ms, service_time_ms, max_ratio",
     [
         (65.0, 160.0, 0.96),  # 290 ms, half of it the turn
         (100.0, 240.0, 0.95),  # 440 ms
@@ -94,34 +102,34 @@
     ],
 )
 def test_a_decision_waits_less_where_appends_overlap(
-    timers, monkeypatch, way_ms, turn_ms, most_share
+    timers, monkeypatch, latency_ms, service_time_ms, max_ratio
 ):
-    shares = []
+    ratios = []
     for seed in range(1, 6):
-        load = {"way_ms": way_ms, "turn_ms": turn_ms, "seed": seed}
-        alone_ms, _ = play(timers, monkeypatch, ONE_AT_A_TIME, **load)
-        overlapping_ms, store = play(timers, monkeypatch, AS_MANY_AS_GAIN, **load)
-        assert store.most_open <= append_pump.MOST_CALLS_OPEN
-        shares.append(overlapping_ms / alone_ms)
-    assert mean(shares) <= most_share
+        load = {"way_ms": latency_ms, "turn_ms": service_time_ms, "seed": seed}
+        sequential_ms, _ = run_load(timers, monkeypatch, SEQUENTIAL, **load)
+        overlapping_ms, store = run_load(timers, monkeypatch, OVERLAPPING, **load)
+        assert store.max_open <= append_pipeline.MAX_OPEN_CALLS
+        ratios.append(overlapping_ms / sequential_ms)
+    assert mean(ratios) <= max_ratio
 
 
 def test_a_quick_store_gets_one_append_at_a_time(timers, monkeypatch):
     load = {"way_ms": 3.0, "turn_ms": 4.0}
-    alone_ms, before = play(timers, monkeypatch, ONE_AT_A_TIME, **load)
-    wait_ms, store = play(timers, monkeypatch, AS_MANY_AS_GAIN, **load)
-    assert store.most_open == 1
-    assert (wait_ms, store.calls) == (pytest.approx(alone_ms), before.calls)
+    sequential_ms, before = run_load(timers, monkeypatch, SEQUENTIAL, **load)
+    wait_ms, store = run_load(timers, monkeypatch, OVERLAPPING, **load)
+    assert store.max_open == 1
+    assert (wait_ms, store.calls) == (pytest.approx(sequential_ms), before.calls)
 
 
 def test_once_the_store_is_quick_again_appends_go_one_at_a_time(timers):
     rng = random.Random(3)
-    store = StoreInTurn(timers=timers, way_ms=spread(rng, 150.0))
-    Decisions(timers, store, rng)
+    store = SequencedStore(timers=timers, latency_ms=jittered(rng, 150.0))
+    DecisionLoad(timers, store, rng)
     timers.run(LOAD_MS / 2)
-    assert store.most_open > 1
-    store.way_ms = spread(rng, 3.0)
+    assert store.max_open > 1
+    store.latency_ms = jittered(rng, 3.0)
     timers.run(1_000.0)
-    store.most_open = 0
+    store.max_open = 0
     timers.run(1_000.0)
-    assert store.most_open == 1
+    assert store.max_open == 1
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -17,19 +17,19 @@
     WorkerEntry,
 )
 from thymefork_cells.state import AccountUsage, Job, JobState, Run, RunState, Worker
-from thymefork_daemon.heard_ends import HeardEnds
+from thymefork_daemon.heard_end_buffer import HeardEndBuffer
 from thymefork_daemon.learned_speeds import LearnedSpeeds
 from thymefork_daemon.owned_cells import OwnedCells
 from thymefork_daemon.owner import (
     cell_owner as cell_owner_module,
     request_handler as request_handler_module,
-    turn_loop as turn_loop_module,
+    scheduling_loop as scheduling_loop_module,
 )
 
-from .fakes import FakeMetrics, owning_parts
+from .fakes import FakeMetrics, capacity_attributes
 from .test_takeover import PartitionStore
 
-CLOCKED = (cell_owner_module, request_handler_module, turn_loop_module)
+CLOCK_MODULES = (cell_owner_module, request_handler_module, scheduling_loop_module)
 
 
 class PooledStore(PartitionStore):
@@ -49,13 +49,13 @@
             ttl_ms=1_000.0,
             holds=lambda partition, epoch, grace_ms=0.0: True,
             store_lost=False,
-            give_up=lambda partition, epoch: given_up.append((partition, epoch)),
+            drop_partition=lambda partition, epoch: given_up.append((partition, epoch)),
         ),
         given_up=given_up,
         settings=SimpleNamespace(instance="edge-1", bounds=Bounds()),
         configuration=Configuration(version=1),
         worker_list=SimpleNamespace(
-            is_complete=True, entries={}, want=lambda wanted: None, known_ms=1e9
+            is_complete=True, entries={}, set_wanted=lambda wanted: None, as_of_ms=1e9
         ),
         links=SimpleNamespace(incoming=[]),
         peers=SimpleNamespace(send_heartbeats=lambda: None),
@@ -65,9 +65,9 @@
         is_stopping=False,
         timers=timers,
         metrics=FakeMetrics(),
-        **owning_parts(),
+        **capacity_attributes(),
     )
-    daemon.heard_ends = HeardEnds(daemon=daemon)
+    daemon.heard_end_buffer = HeardEndBuffer(daemon=daemon)
     daemon.learned_speeds = LearnedSpeeds(daemon=daemon)
     daemon.owned_cells = OwnedCells(daemon=daemon)
     daemon.owners = daemon.owned_cells.owners
@@ -146,7 +146,7 @@
         HeardEnd(worker_id="w0", task="aa.0.0.0", run_id=1, how="done", checkpoint="")
     ]
     daemon.peers.member_links = []
-    daemon.heard_ends.tell(0, 2, ends)
+    daemon.heard_end_buffer.announce(0, 2, ends)
     daemon.owned_cells.update()
     tasks = daemon.owners[0].cell.context.jobs["aa"].steps[0].tasks
     assert [task.done for task in tasks] == [True, False]
@@ -157,7 +157,7 @@
 NEW_JOB, SECOND_JOB = "00000000000000aa", "00000000000000bb"
 
 
-def hand_in(owner, job_id, replies, kind="submit", **options):
+def send_request(owner, job_id, replies, kind="submit", **options):
     data = encode_spec(JobSpec(payload="", steps=(StepSpec(),)))
     owner.request(kind, "q", job_id, data, replies.append, **options)
 
@@ -166,10 +166,10 @@
     """They were left in doubt though nothing of it had left this instance."""
     daemon.owned_cells.update()
     owner, replies = daemon.owners[0], []
-    hand_in(owner, NEW_JOB, replies)
-    hand_in(owner, NEW_JOB, replies, kind="cancel")
+    send_request(owner, NEW_JOB, replies)
+    send_request(owner, NEW_JOB, replies, kind="cancel")
     assert not replies
-    owner.lose("the test says so")
+    owner.drop_ownership("the test says so")
     assert [reply.outcome for reply in replies] == [Outcome.NOT_OWNER] * 2
     assert ("refusals", "given_back") in daemon.metrics.counts
 
@@ -179,13 +179,13 @@
     owner, replies, later = daemon.owners[0], [], []
     appends = []
     daemon.store.append = lambda **fields: appends.append(fields)
-    hand_in(owner, NEW_JOB, replies)
+    send_request(owner, NEW_JOB, replies)
     timers.run(10)
     assert len(appends) == 1
-    hand_in(owner, NEW_JOB, replies)  # the same again waits for that append, too
-    hand_in(owner, SECOND_JOB, later)
+    send_request(owner, NEW_JOB, replies)  # the same again waits for that append, too
+    send_request(owner, SECOND_JOB, later)
     timers.run(10)
-    owner.lose("the test says so")
+    owner.drop_ownership("the test says so")
     assert not replies
     assert [reply.outcome for reply in later] == [Outcome.NOT_OWNER]
 
@@ -194,7 +194,7 @@
     """Let appends go unanswered from now on; return them, one job in the first."""
     appends = []
     daemon.store.append = lambda **fields: appends.append(fields)
-    hand_in(daemon.owners[0], NEW_JOB, [], patience_ms=400)
+    send_request(daemon.owners[0], NEW_JOB, [], patience_ms=400)
     timers.run(10)
     assert len(appends) == 1
     return appends
@@ -204,7 +204,7 @@
     """The store did not answer; who waited behind an append was left in doubt."""
     daemon.owned_cells.update()
     appends, replies = silence_store(daemon, timers), []
-    hand_in(daemon.owners[0], SECOND_JOB, replies, patience_ms=400)
+    send_request(daemon.owners[0], SECOND_JOB, replies, patience_ms=400)
     timers.run(280)
     assert not replies
     timers.run(119)  # before who asked gives up
@@ -218,7 +218,7 @@
     daemon.owned_cells.update()
     silence_store(daemon, timers)
     replies = []
-    hand_in(daemon.owners[0], NEW_JOB, replies, patience_ms=400)
+    send_request(daemon.owners[0], NEW_JOB, replies, patience_ms=400)
     timers.run(2_000)
     assert not replies
     assert NEW_JOB in daemon.owners[0].cell.context.jobs
@@ -227,7 +227,7 @@
 def test_what_was_stored_in_time_stays(daemon, timers):
     daemon.owned_cells.update()
     replies = []
-    hand_in(daemon.owners[0], NEW_JOB, replies, patience_ms=400)
+    send_request(daemon.owners[0], NEW_JOB, replies, patience_ms=400)
     timers.run(2_000)
     assert [reply.outcome for reply in replies] == [Outcome.ACCEPTED]
     assert NEW_JOB in daemon.owners[0].cell.context.jobs
@@ -238,6 +238,6 @@
     daemon.owned_cells.update()
     silence_store(daemon, timers)
     replies = []
-    hand_in(daemon.owners[0], SECOND_JOB, replies)
+    send_request(daemon.owners[0], SECOND_JOB, replies)
     timers.run(5_000)
     assert not replies
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_at_a_slow_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
@@ -14,36 +14,36 @@
 from thymefork_cells.jobs.codec import JOB_KEY, PROGRESS_KEY
 from thymefork_cells.specs import Bounds, Configuration, JobSpec, StepSpec
 from thymefork_cells.state import JobState
-from thymefork_daemon.owner import append_pump, turn_loop
-from thymefork_daemon.owner.append_pump import AppendPump
+from thymefork_daemon.owner import append_pipeline, scheduling_loop
+from thymefork_daemon.owner.append_pipeline import AppendPipeline
 from thymefork_daemon.owner.cell_partition import CellPartition
-from thymefork_daemon.owner.turn_loop import TurnLoop
+from thymefork_daemon.owner.scheduling_loop import SchedulingLoop
 
 from .fakes import FakeMetrics
-from .store_in_turn import FAULTS, StoreInTurn, spread
+from .sequenced_store import FAULTS, SequencedStore, jittered
 
-CLOCKED = (append_pump, turn_loop)
+CLOCK_MODULES = (append_pipeline, scheduling_loop)
 CASES = 60
 REQUESTS_MS = 5_000.0
 OUTAGE_MS = 400.0
-QUIET_MS = 10_000.0
+RECOVERY_MS = 10_000.0
 SPEC = encode_spec(JobSpec(steps=(StepSpec(count=1, cpu_milli=500),)))
 
 
-class Owner:
+class SimulatedOwner:
     """Take requests of callers and check each reply against the store."""
 
     def __init__(self, timers, seed):
         self.timers, self.rng = timers, random.Random(seed)
-        self.share = self.rng.choice([0.0, 0.1, 0.4])
+        self.fault_probability = self.rng.choice([0.0, 0.1, 0.4])
         self.until_ms = timers.now_ms + REQUESTS_MS
         self.outages_ms = self.rng.choice([(), (1_000.0, 3_000.0)])
-        self.store = StoreInTurn(
+        self.store = SequencedStore(
             timers=timers,
-            way_ms=spread(self.rng, 100.0, 0.6),
-            turn_ms=spread(self.rng, 60.0),
-            draw=self.draw,
-            late_ms=lambda: self.rng.uniform(500.0, 4_000.0),
+            latency_ms=jittered(self.rng, 100.0, 0.6),
+            service_time_ms=jittered(self.rng, 60.0),
+            draw_fault=self.draw_fault,
+            delayed_ms=lambda: self.rng.uniform(500.0, 4_000.0),
         )
         self.cell = Cell(
             cell=0,
@@ -56,34 +56,37 @@
         )
         self.outcomes = {}
         self.lost = []
-        self.pump = AppendPump(
+        self.pipeline = AppendPipeline(
             partition=CellPartition(store=self.store, cell=0, partition=7, epoch=1),
             timers=timers,
             metrics=FakeMetrics(),
             last_sequence=0,
             may_write=lambda: True,
-            on_lost=self.lost.append,
+            on_ownership_lost=self.lost.append,
         )
-        self.loop = TurnLoop(
+        self.loop = SchedulingLoop(
             cell=self.cell,
             ownership=SimpleNamespace(is_renewed=lambda: True),
-            pump=self.pump,
-            performer=SimpleNamespace(perform=self.perform),
+            pipeline=self.pipeline,
+            executor=SimpleNamespace(execute=self.execute),
             timers=timers,
-            workers_known_ms=lambda: timers.now_ms,
+            worker_list_as_of_ms=lambda: timers.now_ms,
         )
-        self.loop.turn()
-        self.ask()
+        self.loop.run_cycle()
+        self.send_request()
 
-    def draw(self, number):
+    def draw_fault(self, number):
         left_ms = self.until_ms - self.timers.now_ms
         if any(0.0 < left_ms - outage_ms < OUTAGE_MS for outage_ms in self.outages_ms):
             return "busy"
-        if self.timers.now_ms > self.until_ms or self.rng.random() > self.share:
+        if (
+            self.timers.now_ms > self.until_ms
+            or self.rng.random() > self.fault_probability
+        ):
             return ""
         return self.rng.choice(FAULTS)
 
-    def ask(self):
+    def send_request(self):
         """Hand in a job; sometimes cancel one that was handed in."""
         if self.timers.now_ms > self.until_ms:
             return
@@ -94,10 +97,10 @@
         else:
             job_id = self.rng.choice(list(self.cell.context.jobs))
             intake.cancel(("cancel", job_id), job_id, now_ms=now_ms)
-        self.loop.settle()
-        self.timers.after(self.rng.expovariate(1 / 20.0), self.ask)
+        self.loop.apply_effects()
+        self.timers.after(self.rng.expovariate(1 / 20.0), self.send_request)
 
-    def perform(self, effects):
+    def execute(self, effects):
         for effect in effects:
             if isinstance(effect, Reply):
                 self.check(effect)
@@ -118,9 +121,9 @@
 
 @pytest.mark.parametrize("seed", range(CASES))
 def test_whoever_was_told_finds_it_stored(timers, seed):
-    owner = Owner(timers, seed)
-    timers.run(REQUESTS_MS + QUIET_MS)
-    assert not owner.lost and not owner.pump.is_busy
+    owner = SimulatedOwner(timers, seed)
+    timers.run(REQUESTS_MS + RECOVERY_MS)
+    assert not owner.lost and not owner.pipeline.is_busy
     assert owner.cell.journal.is_empty
     accepted = set()
     for (kind, job_id), outcomes in owner.outcomes.items():
@@ -134,6 +137,6 @@
     assert accepted == set(owner.cell.context.jobs)
     newest = dict(owner.store.stored)
     for job_id, job in owner.cell.context.jobs.items():
-        assert job.shown_state is job.state
-        is_described = bool(newest.get(JOB_KEY + job_id))
-        assert is_described == (job.state is JobState.QUEUED)
+        assert job.visible_state is job.state
+        has_job_record = bool(newest.get(JOB_KEY + job_id))
+        assert has_job_record == (job.state is JobState.QUEUED)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_order_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from thymefork_cells import OrderAnswer, Refusal, effects as fx
+from thymefork_cells import CommandAnswer, Refusal, effects as fx
 from thymefork_cells.specs import WorkerEntry
 from thymefork_cells.state import Run, RunState, Worker
-from thymefork_daemon.owner.order_sender import OrderSender
+from thymefork_daemon.owner.command_sender import CommandSender
 
 EPOCH = 3
 
@@ -33,24 +33,24 @@
 
 @pytest.fixture
 def owner():
-    lost, heard = [], []
+    lost, refusals = [], []
     cell = SimpleNamespace(
-        on_stop=lambda run, answer, now_ms: heard.append(answer.refusal)
+        on_stop_answer=lambda run, answer, now_ms: refusals.append(answer.refusal)
     )
     return SimpleNamespace(
         epoch=EPOCH,
         cell=cell,
         lost=lost,
-        heard=heard,
-        lose=lost.append,
-        may_look=lambda: True,
-        may_renew=lambda: True,
-        may_order=lambda: True,
-        settle=lambda: None,
+        refusals=refusals,
+        drop_ownership=lost.append,
+        may_poll=lambda: True,
+        may_renew_leases=lambda: True,
+        may_start_runs=lambda: True,
+        apply_effects=lambda: None,
     )
 
 
-def life(number=0):
+def make_worker(number=0):
     entry = WorkerEntry(
         worker_id="w", machine_id="m", host="h", port=1, service="s", hall=""
     )
@@ -59,28 +59,30 @@
 
 def send_stop(owner, client, worker):
     run = SimpleNamespace(worker=worker, key=("j.0.0.0", 1))
-    OrderSender(owner=owner, client=client).send(fx.StopRun(run=run))
+    CommandSender(owner=owner, client=client).send(fx.StopRun(run=run))
     return client.stops[-1]
 
 
 def test_the_fence_rises_with_each_life_and_stays_below_the_next_owners(owner, client):
-    fences = [send_stop(owner, client, life(number))["fence"] for number in range(3)]
+    fences = [
+        send_stop(owner, client, make_worker(number))["fence"] for number in range(3)
+    ]
     assert fences == sorted(set(fences))
-    assert fences[-1] < life().fence(EPOCH + 1)
+    assert fences[-1] < make_worker().fence(EPOCH + 1)
 
 
 def test_a_newer_owners_fence_loses_the_cell(owner, client):
-    stop = send_stop(owner, client, life())
-    stop["done"](OrderAnswer(refusal=Refusal.FENCED, clock_ms=5))
-    assert owner.lost and not owner.heard
+    stop = send_stop(owner, client, make_worker())
+    stop["done"](CommandAnswer(refusal=Refusal.FENCED, clock_ms=5))
+    assert owner.lost and not owner.refusals
 
 
 def test_the_fence_of_the_workers_next_life_does_not_lose_the_cell(owner, client):
-    worker = life()
+    worker = make_worker()
     stop = send_stop(owner, client, worker)
     worker.is_over = True
-    stop["done"](OrderAnswer(refusal=Refusal.FENCED, clock_ms=5))
-    assert not owner.lost and owner.heard == [Refusal.FENCED]
+    stop["done"](CommandAnswer(refusal=Refusal.FENCED, clock_ms=5))
+    assert not owner.lost and owner.refusals == [Refusal.FENCED]
 
 
 @pytest.mark.parametrize("state", [RunState.STOPPING, RunState.GONE])
@@ -88,15 +90,15 @@
     owner, client, state
 ):
     """It left after its job was cancelled, beside the order to stop it."""
-    worker = life()
+    worker = make_worker()
     job = SimpleNamespace(spec=SimpleNamespace(payload=""))
     step = SimpleNamespace(job=job, ticket_for=lambda worker_id, now_ms: None)
     task = SimpleNamespace(step=step, checkpoint="")
     run = Run(task=task, run_id=1, worker=worker, state=RunState.SENT)
     worker.clock_offset_ms = 0.0
-    owner.cell.orders = SimpleNamespace(may_start=lambda run, now_ms: True)
-    owner.cell.looks = SimpleNamespace(note_lease=lambda *row, now_ms: None)
-    OrderSender(owner=owner, client=client).send(fx.StartRun(run=run))
+    owner.cell.commands = SimpleNamespace(may_start=lambda run, now_ms: True)
+    owner.cell.poller = SimpleNamespace(record_lease=lambda *row, now_ms: None)
+    CommandSender(owner=owner, client=client).send(fx.StartRun(run=run))
     (start,) = client.starts
     assert start["wanted"]()
     run.state = state
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_configuration_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_configuration_watch.py
@@ -8,9 +8,9 @@
 from thymefork_daemon.configuration_watch import ConfigurationWatch
 from thymefork_machines.store import NewestResult, ReadResult, StoreRecord
 
-from .fakes import FailingOnce
+from .fakes import FailsOnceListener
 
-CLOCKED = ()
+CLOCK_MODULES = ()
 
 
 class FakeReader:
@@ -46,22 +46,22 @@
 
 
 def test_the_configuration_is_followed_on_though_a_listener_failed(reader, timers):
-    listener = FailingOnce()
+    listener = FailsOnceListener()
     watch = follow(reader, timers, listener)
     with pytest.raises(RuntimeError):  # the pool logs it, with its trace
         reader.calls.pop()(newest(1))
     reader.calls.pop()(ReadResult(records=(), next_offset=1))
-    assert [found.version for found in listener.told] == [1]
+    assert [found.version for found in listener.notifications] == [1]
     reader.calls.pop()(ReadResult(records=(version(2),), next_offset=2))
-    assert [found.version for found in listener.told] == [1, 2]
+    assert [found.version for found in listener.notifications] == [1, 2]
     assert watch.current.version == 2 and len(reader.calls) == 1
 
 
 def test_a_version_in_force_does_not_give_way_to_an_older_one(reader, timers):
-    told = []
-    watch = follow(reader, timers, told.append)
+    notifications = []
+    watch = follow(reader, timers, notifications.append)
     reader.calls.pop()(newest(2))
     records = (version(1), version(3), version(2))
     reader.calls.pop()(ReadResult(records=records, next_offset=4))
     assert watch.current.version == 3
-    assert [found.version for found in told] == [2, 3]
+    assert [found.version for found in notifications] == [2, 3]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
@@ -14,13 +14,13 @@
 from thymefork_daemon.departure import Departure
 from thymefork_daemon.membership import HEDGE_MS, Membership
 from thymefork_daemon.owned_cells import OwnedCells
-from thymefork_daemon.standby import SPREAD_MS, Standby
+from thymefork_daemon.standby import JOIN_JITTER_MS, Standby
 from thymefork_machines.store import JoinResult
 from thymefork_net import Address
 
 from .fakes import FakeStore
 
-CLOCKED = (standby_module,)
+CLOCK_MODULES = (standby_module,)
 
 
 class FakeOwner:
@@ -30,7 +30,7 @@
         self.ended = False
         self._fails = fails
 
-    def tell_ends(self):
+    def announce_ends(self):
         if self._fails:
             raise RuntimeError("its ends can't be told")
 
@@ -51,11 +51,11 @@
         settings=SimpleNamespace(
             instance="edge-1",
             peer=Address(host="10.0.0.1", port=7000),
-            store=SimpleNamespace(shortest_membership_ms=1_000),
+            store=SimpleNamespace(min_membership_ms=1_000),
         ),
         life="1",
         on_change=lambda: None,
-        has_to_wait=lambda: False,
+        must_wait=lambda: False,
     )
 
 
@@ -69,7 +69,7 @@
         peers=SimpleNamespace(send_heartbeats=lambda: None),
         directory=SimpleNamespace(refresh=lambda: None),
     )
-    daemon.worker_list = SimpleNamespace(want=daemon.wanted.append)
+    daemon.worker_list = SimpleNamespace(set_wanted=daemon.wanted.append)
     daemon.owned_cells = OwnedCells(daemon=daemon)
     daemon.owners = daemon.owned_cells.owners
     return daemon
@@ -77,7 +77,7 @@
 
 def test_who_left_reads_the_list_of_workers_no_more(daemon, store):
     daemon.owners[0] = owner = FakeOwner()
-    Departure(daemon=daemon).leave("handed over", for_good=False)
+    Departure(daemon=daemon).leave("handed over", permanent=False)
     assert owner.ended and not daemon.owners and len(store.left) == 1
     assert daemon.wanted[-1] is False
 
@@ -86,14 +86,14 @@
     owners = [FakeOwner(fails=True), FakeOwner()]
     daemon.owners.update(enumerate(owners))
     with pytest.raises(RuntimeError):  # the timers log it, with its trace
-        Departure(daemon=daemon).leave("handed over", for_good=False)
+        Departure(daemon=daemon).leave("handed over", permanent=False)
     assert all(owner.ended for owner in owners)
     assert not daemon.owners and len(store.left) == 1
     assert daemon.wanted[-1] is False
 
 
 def test_who_left_for_good_does_not_join_any_more(membership, store, timers):
-    membership.leave(lambda answer: None, for_good=True)
+    membership.leave(lambda answer: None, permanent=True)
     membership.start()
     timers.run(2_000)
     assert not store.joins
@@ -109,16 +109,16 @@
     timers.run(int(HEDGE_MS) + 10)
     assert len(store.joins) == 2
     answer(store, 1)
-    assert membership.is_asking
+    assert membership.has_pending_join
     answer(store, 0)
-    assert not membership.is_asking
+    assert not membership.has_pending_join
 
 
 def test_a_join_that_is_answered_after_the_leave_is_followed_by_another_leave(
     membership, store, timers
 ):
     membership.start()
-    membership.leave(lambda answer: None, for_good=True)
+    membership.leave(lambda answer: None, permanent=True)
     assert len(store.left) == 1
     answer(store, 0)
     assert len(store.left) == 2
@@ -145,7 +145,7 @@
             timers=timers,
             membership=membership,
             directory=SimpleNamespace(
-                member_count=0, count_holds=True, refresh=lambda: None
+                member_count=0, is_count_fresh=True, refresh=lambda: None
             ),
             layout=SimpleNamespace(cells=1, tiers={Tier.LEAST}, best_tier=Tier.LEAST),
             is_stopping=is_stopping,
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize("is_stopping", [True, False])
 def test_a_standby_that_stops_does_not_step_in(standby_of, store, timers, is_stopping):
     standby_of(lambda: is_stopping)
-    timers.run(SPREAD_MS + 200)
+    timers.run(JOIN_JITTER_MS + 200)
     assert bool(store.joins) is not is_stopping
 
 
@@ -165,6 +165,6 @@
     standby_of, membership, store, timers
 ):
     standby_of(lambda: False)
-    membership.leave(lambda answer: None, for_good=True)
+    membership.leave(lambda answer: None, permanent=True)
     timers.run(2_200)
     assert not store.joins
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from thymefork_daemon.owner import CellOwner, advisers as advisers_module
+from thymefork_daemon.owner import CellOwner, advice_dispatcher as dispatcher_module
 
-from .fakes import FakeMetrics, FakeStore, owning_parts
-from .test_advisers import FakeLink, OwnClient, long_call, reply_to
+from .fakes import FakeMetrics, FakeStore, capacity_attributes
+from .test_advice_dispatcher import FakeAdviceClient, FakeLink, long_call, reply_to
 
-CLOCKED = (advisers_module,)
+CLOCK_MODULES = (dispatcher_module,)
 
 
 @pytest.fixture
@@ -18,8 +18,8 @@
         store=FakeStore(),
         timers=timers,
         metrics=FakeMetrics(),
-        **owning_parts(),
-        advice=OwnClient(),
+        **capacity_attributes(),
+        advice=FakeAdviceClient(),
         workers=None,
         membership=None,
         settings=SimpleNamespace(instance="edge-9"),
@@ -28,28 +28,28 @@
 
 
 @pytest.fixture
-def asking(daemon):
+def owner_with_calls(daemon):
     """Return an owner with one call under way at another instance and one waiting."""
     owner = CellOwner(cell=0, epoch=1, daemon=daemon)
     link = FakeLink("edge-0")
-    owner._advisers.update([link])
-    owner._advisers.ask(long_call("under way"))
-    owner._advisers.ask(long_call("waiting"))
+    owner._advice_dispatcher.update([link])
+    owner._advice_dispatcher.ask(long_call("under way"))
+    owner._advice_dispatcher.ask(long_call("waiting"))
     assert [message.step for message in link.sent] == ["under way"]
     return owner, link
 
 
-def test_an_ended_owner_makes_no_more_advice_calls(asking, timers):
+def test_an_ended_owner_makes_no_more_advice_calls(owner_with_calls, timers):
     """From a review: they went out before those of the cell's next owner."""
-    owner, link = asking
+    owner, link = owner_with_calls
     owner.end("the test says so")
     owner.on_advice_reply(reply_to(link.sent[0]))
     timers.run(10_000)
     assert [message.step for message in link.sent] == ["under way"]
 
 
-def test_an_ended_owner_waits_for_no_answer(asking, timers):
-    owner, link = asking
+def test_an_ended_owner_waits_for_no_answer(owner_with_calls, timers):
+    owner, link = owner_with_calls
     owner.end("the test says so")
     timers.run(10_000)
     assert [message.step for message in link.sent] == ["under way"]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_front_keys.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_frontend_keys.py
@@ -7,14 +7,14 @@
 from attrs import define, field
 
 from thymefork_cells import effects as fx
-from thymefork_daemon import front as front_module
-from thymefork_daemon.front import Front
+from thymefork_daemon import frontend as front_module
+from thymefork_daemon.frontend import Frontend
 from thymefork_machines import decode_configuration
 
 from .fakes import FakeMetrics
 
 JOB = "5c0e7a21d94b36f8"
-CLOCKED = (front_module,)
+CLOCK_MODULES = (front_module,)
 KEY, OTHER_KEY = "key-of-a", "key-of-b"
 
 
@@ -73,18 +73,18 @@
         sockets=None,
         timers=timers,
         settings=SimpleNamespace(
-            front=None, store=SimpleNamespace(most_record_bytes=262_144)
+            front=None, store=SimpleNamespace(max_record_bytes=262_144)
         ),
         metrics=FakeMetrics(),
         gateway=FakeGateway(),
-        readiness=SimpleNamespace(is_cut_off=False),
+        readiness=SimpleNamespace(is_disconnected=False),
         configuration=configuration(a=KEY, b=OTHER_KEY),
     )
 
 
 def ask(daemon, path=f"/q/{JOB}", **headers):
     request = FakeRequest(path=path, headers={"host": "h", **headers})
-    Front(daemon=daemon)._on_request(request)
+    Frontend(daemon=daemon)._on_request(request)
     return request.answers
 
 
@@ -121,7 +121,7 @@
 
 
 def test_a_key_that_was_taken_away_is_refused_on_an_open_connection(daemon):
-    front = Front(daemon=daemon)
+    front = Frontend(daemon=daemon)
     first = FakeRequest(headers={"host": "h", "api-key": KEY})
     front._on_request(first)
     daemon.configuration = configuration(2, a="", b=OTHER_KEY)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
@@ -16,7 +16,7 @@
 
 from .fakes import FakeMetrics
 
-CLOCKED = (gateway_module, pending_request_module)
+CLOCK_MODULES = (gateway_module, pending_request_module)
 
 JOB = "00000000000000aa"
 OWNER = Address(host="10.0.0.2", port=7000)
@@ -38,7 +38,7 @@
         return self.bytes_each * len(self.sent)
 
     @property
-    def handed_bytes(self):
+    def written_bytes(self):
         return self.sent_bytes - self.kept_bytes
 
     def send(self, message):
@@ -80,7 +80,7 @@
     def forget(self, cell, address):
         self.known[cell] = None
 
-    def heard(self, cell, address, epoch):
+    def record_owner(self, cell, address, epoch):
         self.known[cell] = address
         self.epochs[cell, address] = epoch
         return True
@@ -99,12 +99,12 @@
         layout=SimpleNamespace(cells=1),
         owners={},
         directory=FakeDirectory(),
-        links=SimpleNamespace(to=lambda address: links[address]),
+        links=SimpleNamespace(open_link=lambda address: links[address]),
         link=link,
         successor=links[SUCCESSOR],
         timers=timers,
         metrics=FakeMetrics(),
-        readiness=SimpleNamespace(is_cut_off=False),
+        readiness=SimpleNamespace(is_disconnected=False),
         settings=SimpleNamespace(peer=Address(host="10.0.0.1", port=7000)),
     )
 
@@ -207,7 +207,7 @@
 
 
 def test_an_instance_that_is_cut_off_refuses_at_once(daemon, timers):
-    daemon.readiness.is_cut_off = True
+    daemon.readiness.is_disconnected = True
     _, replies = ask(daemon, timers)
     timers.run(10)
     assert replies[0].outcome is fx.Outcome.REFUSED
@@ -216,7 +216,7 @@
 def test_a_request_in_doubt_waits_for_the_successor_all_the_same(daemon, timers):
     daemon.directory.known[0] = OWNER
     gateway, replies = ask(daemon, timers)
-    daemon.readiness.is_cut_off = True
+    daemon.readiness.is_disconnected = True
     gateway.on_link_broken(daemon.link)
     timers.run(1_000)
     assert not replies
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_doubt.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
@@ -22,7 +22,7 @@
     make_daemon,
 )
 
-CLOCKED = (gateway_module, pending_request_module)
+CLOCK_MODULES = (gateway_module, pending_request_module)
 
 NOT_OWNER = fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER)
 KINDS = ["submit", "cancel"]
@@ -160,7 +160,7 @@
         gateway.on_heartbeat(daemon.link, heartbeat(epoch))
     timers.run(3_000)
     assert not gateway.open_requests
-    assert not gateway._earlier_numbers
+    assert not gateway._earlier_call_ids
 
 
 def test_an_owner_is_told_how_long_the_caller_still_waits(daemon, timers):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_rule.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
@@ -7,19 +7,19 @@
 import pytest
 
 from thymefork_daemon.capacity import (
-    HandoverRule,
+    HandoverPolicy,
+    LocalStatus,
     MemberStatus,
     OwnerLoad,
-    OwnStatus,
     Tier,
 )
 
 STEP_MS = 100
 # A heartbeat, and a takeover of the cell by who is dealt it.
-UNTIL_IT_SAYS_SO_MS = 1_000
+OWNERSHIP_REPORT_DELAY_MS = 1_000
 
 
-def status(address, *, cell=None, load_percent=0, heard_ms):
+def status(address, *, cell=None, load_percent=0, received_ms):
     return MemberStatus(
         address=address,
         tier=Tier.FULL,
@@ -29,15 +29,15 @@
         can_own=True,
         owned=frozenset() if cell is None else frozenset({cell}),
         join_ms=6.0,
-        heard_ms=heard_ms,
-        well_since_ms=0.0,
+        received_ms=received_ms,
+        healthy_since_ms=0.0,
     )
 
 
-def own_status(cell, *, value, cells=2):
+def local_status(cell, *, value, cells=2):
     load = OwnerLoad(link_mbps=0.0)
     load.value, load.is_overloaded = value, True
-    return OwnStatus(
+    return LocalStatus(
         cells=cells,
         owned=frozenset({cell}),
         may_hand_over=True,
@@ -46,27 +46,27 @@
     )
 
 
-def leaving_moments(loads):
+def leave_times(loads):
     """Return when each of two owners leaves; each hears the other's last beat."""
-    rules = [HandoverRule(tier=Tier.FULL, address=name) for name in "ab"]
+    policies = [HandoverPolicy(tier=Tier.FULL, address=name) for name in "ab"]
     left_ms = [None, None]
     for now_ms in range(0, 10_000, STEP_MS):
-        beat_ms = float(now_ms // 200 * 200)
-        for n, rule in enumerate(rules):
+        heartbeat_ms = float(now_ms // 200 * 200)
+        for n, policy in enumerate(policies):
             other = 1 - n
-            other_left = left_ms[other] is not None and left_ms[other] < beat_ms
+            other_left = left_ms[other] is not None and left_ms[other] < heartbeat_ms
             statuses = [
-                status("c", heard_ms=beat_ms),  # its takeover goes on and on
+                status("c", received_ms=heartbeat_ms),  # its takeover goes on and on
                 status(
                     "ab"[other],
                     cell=None if other_left else other,
                     load_percent=0 if other_left else round(100 * loads[other]),
-                    heard_ms=beat_ms,
+                    received_ms=heartbeat_ms,
                 ),
             ]
-            own = own_status(n, value=loads[n])
-            if left_ms[n] is None and rule.reason(
-                float(now_ms), own=own, statuses=statuses
+            local = local_status(n, value=loads[n])
+            if left_ms[n] is None and policy.reason(
+                float(now_ms), local=local, statuses=statuses
             ):
                 left_ms[n] = now_ms
     return left_ms
@@ -76,33 +76,33 @@
     "loads, first", [((1.5, 1.5), 0), ((1.2, 1.5), 1), ((1.5, 1.2), 0)]
 )
 def test_only_the_first_of_two_overloaded_owners_leaves_for_one_member(loads, first):
-    left_ms = leaving_moments(loads)
+    left_ms = leave_times(loads)
     assert left_ms[first] is not None
     assert left_ms[1 - first] is None
 
 
-def reason_after_a_while(own, statuses_at):
-    rule = HandoverRule(tier=Tier.FULL, address="a")
+def eventual_reason(local, statuses_at):
+    policy = HandoverPolicy(tier=Tier.FULL, address="a")
     for now_ms in range(0, 10_000, STEP_MS):
-        reason = rule.reason(float(now_ms), own=own, statuses=statuses_at(now_ms))
+        reason = policy.reason(float(now_ms), local=local, statuses=statuses_at(now_ms))
         if reason is not None:
             return reason
     return None
 
 
 def test_nobody_leaves_while_another_cell_is_on_its_way():
-    own = own_status(0, value=1.5)
-    assert reason_after_a_while(own, lambda now: [status("c", heard_ms=now)]) is None
+    local = local_status(0, value=1.5)
+    assert eventual_reason(local, lambda now: [status("c", received_ms=now)]) is None
 
 
 def test_a_lone_overloaded_owner_leaves_for_who_owns_nothing():
-    own = own_status(0, value=1.5)
+    local = local_status(0, value=1.5)
     assert (
-        reason_after_a_while(
-            own,
+        eventual_reason(
+            local,
             lambda now: [
-                status("b", cell=1, load_percent=40, heard_ms=now),
-                status("c", heard_ms=now),
+                status("b", cell=1, load_percent=40, received_ms=now),
+                status("c", received_ms=now),
             ],
         )
         == "overload"
@@ -111,13 +111,19 @@
 
 def test_a_cell_taken_again_after_a_handover_is_held_for_a_while():
     """The rule was not asked meanwhile, so what it followed before does not hold."""
-    rule = HandoverRule(tier=Tier.FULL, address="a")
-    own = own_status(0, value=1.5, cells=1)
+    policy = HandoverPolicy(tier=Tier.FULL, address="a")
+    local = local_status(0, value=1.5, cells=1)
     now_ms = 0.0
-    while rule.reason(now_ms, own=own, statuses=[status("b", heard_ms=now_ms)]) is None:
+    while (
+        policy.reason(now_ms, local=local, statuses=[status("b", received_ms=now_ms)])
+        is None
+    ):
         now_ms += STEP_MS
-    rule.on_left(now_ms)
-    back_ms = now_ms = rule.rest_until_ms + STEP_MS
-    while rule.reason(now_ms, own=own, statuses=[status("b", heard_ms=now_ms)]) is None:
+    policy.on_left(now_ms)
+    regained_ms = now_ms = policy.cooldown_until_ms + STEP_MS
+    while (
+        policy.reason(now_ms, local=local, statuses=[status("b", received_ms=now_ms)])
+        is None
+    ):
         now_ms += STEP_MS
-    assert now_ms - back_ms >= 5_000.0
+    assert now_ms - regained_ms >= 5_000.0
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_first.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from thymefork_daemon import owner_first as owner_first_module
-from thymefork_daemon.owner_first import OwnerFirst
+from thymefork_daemon import join_deferral as join_deferral_module
+from thymefork_daemon.join_deferral import JoinDeferral
 
-CLOCKED = (owner_first_module,)
+CLOCK_MODULES = (join_deferral_module,)
 
 
 @pytest.fixture
@@ -16,9 +16,9 @@
         owners={},
         layout=SimpleNamespace(cells=2),
         directory=SimpleNamespace(owner_of=lambda cell: f"owner-{cell}"),
-        readiness=SimpleNamespace(hears_owners=True),
+        readiness=SimpleNamespace(hears_all_owners=True),
         peers=SimpleNamespace(has_store=lambda address: address not in daemon.without),
-        store_answers_since_ms=None,
+        store_readable_since_ms=None,
         without={"owner-1"},
         membership=SimpleNamespace(in_group=True),
     )
@@ -26,34 +26,34 @@
 
 
 def test_an_instance_waits_for_an_owner_that_waits_for_the_store(daemon, timers):
-    assert OwnerFirst(daemon=daemon).waits()
+    assert JoinDeferral(daemon=daemon).must_wait()
 
 
 def test_an_instance_joins_once_the_owner_has(daemon, timers):
     daemon.without.clear()
-    assert not OwnerFirst(daemon=daemon).waits()
+    assert not JoinDeferral(daemon=daemon).must_wait()
 
 
 def test_an_owner_does_not_wait(daemon, timers):
     daemon.owners = {0: object()}
-    assert not OwnerFirst(daemon=daemon).waits()
+    assert not JoinDeferral(daemon=daemon).must_wait()
 
 
 def test_nobody_waits_for_an_owner_that_is_not_heard(daemon, timers):
-    daemon.readiness.hears_owners = False
-    assert not OwnerFirst(daemon=daemon).waits()
+    daemon.readiness.hears_all_owners = False
+    assert not JoinDeferral(daemon=daemon).must_wait()
 
 
 def test_nobody_waits_long_for_an_owner_that_is_cut_off_by_itself(daemon, timers):
-    first = OwnerFirst(daemon=daemon)
-    daemon.store_answers_since_ms = timers.now_ms
+    deferral = JoinDeferral(daemon=daemon)
+    daemon.store_readable_since_ms = timers.now_ms
     timers.run(300)
-    assert first.waits()
+    assert deferral.must_wait()
     timers.run(200)
-    assert not first.waits()
+    assert not deferral.must_wait()
 
 
-class Newcomer:
+class NewInstance:
     """An instance that was started in an outage, or without one.
 
     The story, from the large deployment's day scale-2: an instance was started while
@@ -68,49 +68,49 @@
         self.daemon = daemon
         self.timers = timers
         daemon.layout.cells = 0
-        daemon.readiness.hears_owners = False
+        daemon.readiness.hears_all_owners = False
         daemon.membership = SimpleNamespace(in_group=False)
-        self._first = OwnerFirst(daemon=daemon)
+        self._deferral = JoinDeferral(daemon=daemon)
 
-    def read_is_answered(self):
-        self.daemon.store_answers_since_ms = self.timers.now_ms
+    def answer_read(self):
+        self.daemon.store_readable_since_ms = self.timers.now_ms
 
-    def waits(self):
-        return self._first.waits()
+    def must_wait(self):
+        return self._deferral.must_wait()
 
 
 @pytest.fixture
-def newcomer(daemon, timers):
-    return Newcomer(daemon, timers)
+def new_instance(daemon, timers):
+    return NewInstance(daemon, timers)
 
 
-def test_a_newcomer_sends_no_join_while_the_store_is_away(newcomer, timers):
+def test_a_newcomer_sends_no_join_while_the_store_is_away(new_instance, timers):
     """A join without an answer may be carried out on the store's return."""
     for _ in range(100):
-        assert newcomer.waits()
+        assert new_instance.must_wait()
         timers.run(50)
 
 
-def test_a_newcomer_joins_after_the_owner_had_time_to(newcomer, timers):
-    assert newcomer.waits()
+def test_a_newcomer_joins_after_the_owner_had_time_to(new_instance, timers):
+    assert new_instance.must_wait()
     timers.run(2_000)
-    newcomer.read_is_answered()
+    new_instance.answer_read()
     timers.run(300)
-    assert newcomer.waits()
+    assert new_instance.must_wait()
     timers.run(200)
-    assert not newcomer.waits()
+    assert not new_instance.must_wait()
 
 
-def test_a_newcomer_that_is_answered_at_once_does_not_wait(newcomer, timers):
-    assert newcomer.waits()
+def test_a_newcomer_that_is_answered_at_once_does_not_wait(new_instance, timers):
+    assert new_instance.must_wait()
     timers.run(10)
-    newcomer.read_is_answered()
-    assert not newcomer.waits()
+    new_instance.answer_read()
+    assert not new_instance.must_wait()
 
 
 def test_one_that_steps_in_later_while_the_store_answers_does_not_wait(
-    newcomer, timers
+    new_instance, timers
 ):
-    newcomer.read_is_answered()
+    new_instance.answer_read()
     timers.run(5_000)
-    assert not newcomer.waits()
+    assert not new_instance.must_wait()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_layout.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_layout.py
@@ -14,7 +14,7 @@
     StoreRecord,
 )
 
-CLOCKED = (layout_module,)
+CLOCK_MODULES = (layout_module,)
 
 
 class LayoutStore:
@@ -48,9 +48,9 @@
         layout = Layout(
             store=store,
             timers=timers,
-            most_cells=8,
+            max_cells=8,
             worker_list=SimpleNamespace(
-                entries=dict.fromkeys(range(45)), want=lambda wanted: None
+                entries=dict.fromkeys(range(45)), set_wanted=lambda wanted: None
             ),
             tier=Tier.FULL if is_large else Tier.LEAST,
             on_known=lambda: None,
@@ -113,9 +113,9 @@
     layout = Layout(
         store=store,
         timers=timers,
-        most_cells=8,
+        max_cells=8,
         worker_list=SimpleNamespace(
-            entries=dict.fromkeys(range(45)), want=lambda wanted: None
+            entries=dict.fromkeys(range(45)), set_wanted=lambda wanted: None
         ),
         tier=tier,
         on_known=lambda: None,
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_learned_speeds.py
@@ -5,9 +5,9 @@
 import pytest
 
 from thymefork_cells import LearnedSpeed
-from thymefork_cells.estimates import ImageTimes, SpeedLearner, WorkerSpeeds
+from thymefork_cells.estimates import ImageDurations, SpeedLearner, WorkerSpeeds
 from thymefork_daemon import learned_speeds as module
-from thymefork_daemon.learned_speeds import KEPT_MS, LearnedSpeeds
+from thymefork_daemon.learned_speeds import RETENTION_MS, LearnedSpeeds
 from thymefork_net.peers import Heartbeat, MachineSpeed, OwnedCell, SpeedsLearned
 from thymefork_net.peers.envelope import decode, encode
 
@@ -32,47 +32,47 @@
     return LearnedSpeed(machine=machine, log_slowness=log_slowness)
 
 
-def heard(speeds):
+def roundtrip(speeds):
     """Return what a peer reads of a heartbeat that carries speeds."""
-    beat = Heartbeat(owned=[], config_version=1, leaving=False, speeds=speeds)
-    return decode(encode(beat), peer="edge-1").speeds
+    heartbeat = Heartbeat(owned=[], config_version=1, leaving=False, speeds=speeds)
+    return decode(encode(heartbeat), peer="edge-1").speeds
 
 
 def test_what_one_instance_tells_another_keeps(now, daemon):
-    here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed("m1", 0.357), speed("m2", -0.531)])
-    there = LearnedSpeeds(daemon=daemon)
-    for message in heard(here.take_untold()):
-        there.on_message(message)
-    assert there.of(CELL) == here.of(CELL)
-    assert there.of(CELL)[1].log_slowness == pytest.approx(-0.531)
-    assert there.of(CELL + 1) == []
+    local = LearnedSpeeds(daemon=daemon)
+    local.announce(CELL, 3, [speed("m1", 0.357), speed("m2", -0.531)])
+    remote = LearnedSpeeds(daemon=daemon)
+    for message in roundtrip(local.take_unannounced()):
+        remote.on_message(message)
+    assert remote.of_cell(CELL) == local.of_cell(CELL)
+    assert remote.of_cell(CELL)[1].log_slowness == pytest.approx(-0.531)
+    assert remote.of_cell(CELL + 1) == []
 
 
 def test_news_is_told_once(now, daemon):
-    here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed("m1", 0.357)])
-    assert here.take_untold()
-    assert here.take_untold() is None
+    local = LearnedSpeeds(daemon=daemon)
+    local.announce(CELL, 3, [speed("m1", 0.357)])
+    assert local.take_unannounced()
+    assert local.take_unannounced() is None
 
 
 def test_an_owner_keeps_its_own_beside_the_word_of_an_earlier_one(now, daemon):
-    here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed("m1", 0.4)])
-    there = LearnedSpeeds(daemon=SimpleNamespace(**vars(daemon)))
-    there._daemon.owners = {CELL: SimpleNamespace(epoch=4)}
-    for message in here.take_untold():
-        there.on_message(message)
-    assert there.of(CELL) == []
+    local = LearnedSpeeds(daemon=daemon)
+    local.announce(CELL, 3, [speed("m1", 0.4)])
+    remote = LearnedSpeeds(daemon=SimpleNamespace(**vars(daemon)))
+    remote._daemon.owners = {CELL: SimpleNamespace(epoch=4)}
+    for message in local.take_unannounced():
+        remote.on_message(message)
+    assert remote.of_cell(CELL) == []
 
 
-class Owner:
+class SimulatedOwner:
     """Learn nothing new for as long as it serves, and tell a member what it knows."""
 
     def __init__(self, clock, *, machines=12):
         self._clock = clock
-        self._told = []
-        self._here = LearnedSpeeds(
+        self._announced = []
+        self._local = LearnedSpeeds(
             daemon=SimpleNamespace(owners={}, metrics=FakeMetrics())
         )
         names = [f"m{number}" for number in range(machines)]
@@ -82,82 +82,86 @@
             },
             note=lambda event, **fields: None,
             count=lambda name, reason: None,
-            emit=lambda effect: self._told.append(effect.speeds),
+            emit=lambda effect: self._announced.append(effect.speeds),
         )
         self.learner = SpeedLearner(
-            context=context, images=ImageTimes(), speeds=WorkerSpeeds()
+            context=context, durations=ImageDurations(), speeds=WorkerSpeeds()
         )
         rows = [speed(n, 0.36 if i % 3 else -0.72) for i, n in enumerate(names)]
         self.learner.inherit(rows, now_ms=clock.ms)
 
-    def serve(self, until_ms, heirs):
+    def serve(self, until_ms, receivers):
         while self._clock.ms < until_ms:
             self._clock.ms += 500.0
             self.learner.review(self._clock.ms)
-            for speeds in self._told:
-                self._here.tell(CELL, 1, speeds)
-            self._told.clear()
-            for message in heard(self._here.take_untold()) or ():
-                for heir in heirs:
-                    heir.on_message(message)
+            for speeds in self._announced:
+                self._local.announce(CELL, 1, speeds)
+            self._announced.clear()
+            for message in roundtrip(self._local.take_unannounced()) or ():
+                for receiver in receivers:
+                    receiver.on_message(message)
 
 
-@pytest.mark.parametrize("after_ms", [KEPT_MS - 1_000.0, KEPT_MS + 60_000.0, 3e6])
+@pytest.mark.parametrize(
+    "after_ms", [RETENTION_MS - 1_000.0, RETENTION_MS + 60_000.0, 3e6]
+)
 def test_an_heir_knows_speeds_that_have_not_changed_for_long(now, daemon, after_ms):
-    heir = LearnedSpeeds(daemon=daemon)
-    Owner(now).serve(after_ms, [heir])
-    assert len(heir.of(CELL)) == 12
+    receiver = LearnedSpeeds(daemon=daemon)
+    SimulatedOwner(now).serve(after_ms, [receiver])
+    assert len(receiver.of_cell(CELL)) == 12
 
 
 def test_a_member_that_comes_after_the_first_telling_hears_of_all(now, daemon):
-    owner, heir = Owner(now), LearnedSpeeds(daemon=daemon)
+    owner, receiver = SimulatedOwner(now), LearnedSpeeds(daemon=daemon)
     owner.serve(20_000.0, [])
-    owner.serve(130_000.0, [heir])
-    assert len(heir.of(CELL)) == 12
+    owner.serve(130_000.0, [receiver])
+    assert len(receiver.of_cell(CELL)) == 12
 
 
 def test_a_member_that_comes_is_told_all_of_the_cells_owned_here(now, daemon):
-    here = LearnedSpeeds(daemon=daemon)
-    assert here.of_owners() is None
-    here.tell(CELL, 3, [speed("m1", 0.357)])
-    here.tell(CELL + 1, 3, [speed("m2", 0.357)])
+    local = LearnedSpeeds(daemon=daemon)
+    assert local.of_owned_cells() is None
+    local.announce(CELL, 3, [speed("m1", 0.357)])
+    local.announce(CELL + 1, 3, [speed("m2", 0.357)])
     daemon.owners = {CELL: SimpleNamespace(epoch=3)}
-    (message,) = heard(here.of_owners())
+    (message,) = roundtrip(local.of_owned_cells())
     assert (message.cell, message.epoch) == (CELL, 3)
     assert [row.machine for row in message.speeds] == ["m1"]
 
 
-@pytest.mark.parametrize("told_milli", [2**31 - 1, -(2**31)])
-def test_a_figure_beyond_all_sense_is_bounded(now, daemon, told_milli):
+@pytest.mark.parametrize("announced_milli", [2**31 - 1, -(2**31)])
+def test_a_figure_beyond_all_sense_is_bounded(now, daemon, announced_milli):
     """A takeover that fails by it would fail on each member that heard it."""
-    rows = [MachineSpeed(machine="m1", log_slowness_milli=told_milli)]
-    here = LearnedSpeeds(daemon=daemon)
-    here.on_message(SpeedsLearned(cell=CELL, epoch=3, speeds=rows))
-    assert abs(here.of(CELL)[0].log_slowness) <= 3.0
+    rows = [MachineSpeed(machine="m1", log_slowness_milli=announced_milli)]
+    local = LearnedSpeeds(daemon=daemon)
+    local.on_message(SpeedsLearned(cell=CELL, epoch=3, speeds=rows))
+    assert abs(local.of_cell(CELL)[0].log_slowness) <= 3.0
 
 
 def test_what_is_old_is_forgotten(now, daemon):
-    here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed("m1", 0.4)])
-    now.ms += KEPT_MS + 1.0
-    assert here.of(CELL) == []
+    local = LearnedSpeeds(daemon=daemon)
+    local.announce(CELL, 3, [speed("m1", 0.4)])
+    now.ms += RETENTION_MS + 1.0
+    assert local.of_cell(CELL) == []
 
 
 def test_told_speeds_that_are_kept_are_bounded(now, daemon, monkeypatch):
     monkeypatch.setattr(module, "MOST_KEPT", 3)
-    here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed(f"m{number}", 0.4) for number in range(5)])
-    assert [row.machine for row in here.of(CELL)] == ["m2", "m3", "m4"]
+    local = LearnedSpeeds(daemon=daemon)
+    local.announce(CELL, 3, [speed(f"m{number}", 0.4) for number in range(5)])
+    assert [row.machine for row in local.of_cell(CELL)] == ["m2", "m3", "m4"]
 
 
 def test_a_heartbeat_without_news_is_as_before(now, daemon):
     """An instance from before reads the rest of a heartbeat that tells speeds."""
     owned = [OwnedCell(cell=0, epoch=1)]
     without = Heartbeat(owned=owned, config_version=1, leaving=False)
-    here = LearnedSpeeds(daemon=daemon)
-    here.tell(CELL, 3, [speed("m1", 0.4)])
-    untold = here.take_untold()
-    beat = Heartbeat(owned=owned, config_version=1, leaving=False, speeds=untold)
-    read = decode(encode(beat), peer="edge-1")
+    local = LearnedSpeeds(daemon=daemon)
+    local.announce(CELL, 3, [speed("m1", 0.4)])
+    unannounced = local.take_unannounced()
+    heartbeat = Heartbeat(
+        owned=owned, config_version=1, leaving=False, speeds=unannounced
+    )
+    read = decode(encode(heartbeat), peer="edge-1")
     read.speeds = None
     assert read == without
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_part_courier.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
@@ -10,20 +10,20 @@
 
 from thymefork_cells import effects as fx
 from thymefork_cells.specs import LimitParts
-from thymefork_daemon import peer_desk as peer_desk_module
-from thymefork_daemon.part_courier import PartCourier, to_wire
-from thymefork_daemon.peer_desk import PeerDesk
+from thymefork_daemon import peer_dispatcher as peer_desk_module
+from thymefork_daemon.limit_part_router import LimitPartRouter, to_wire
+from thymefork_daemon.peer_dispatcher import PeerDispatcher
 from thymefork_net import Address
 from thymefork_net.peers import Heartbeat
 from thymefork_net.peers.envelope import decode, encode
 
 from .fakes import FakeMetrics
 
-CLOCKED = (peer_desk_module,)
+CLOCK_MODULES = (peer_desk_module,)
 OWN = Address(host="10.0.0.1", port=7000)
 PEER = Address(host="10.0.0.2", port=7000)
 PARTS = LimitParts(cpu=3, memory=2_000_000_000_000, accelerators=0)
-ASK = fx.AskParts(
+ASK = fx.RequestParts(
     account="a",
     borrower=0,
     borrower_epoch=4,
@@ -43,7 +43,7 @@
     parts=PARTS,
     free=LimitParts(),
 )
-HOLD = fx.HoldParts(
+HOLD = fx.ReportHeldParts(
     account="a",
     borrower=0,
     borrower_epoch=4,
@@ -84,17 +84,17 @@
         link=link,
         owner_addresses={1: PEER},
         settings=SimpleNamespace(peer=OWN),
-        membership=SimpleNamespace(in_group=False, hurry=lambda: None),
-        owned_cells=SimpleNamespace(on_peer_owns=lambda owned: None),
+        membership=SimpleNamespace(in_group=False, join_now=lambda: None),
+        owned_cells=SimpleNamespace(on_peer_ownership=lambda owned: None),
         gateway=SimpleNamespace(on_heartbeat=lambda link, message: None),
-        links=SimpleNamespace(to=lambda address: link),
+        links=SimpleNamespace(open_link=lambda address: link),
         directory=SimpleNamespace(
             owner_of=lambda cell: daemon.owner_addresses.get(cell),
             refresh=lambda: None,
         ),
     )
-    daemon.parts = PartCourier(daemon=daemon)
-    daemon.peers = PeerDesk(daemon=daemon)
+    daemon.parts = LimitPartRouter(daemon=daemon)
+    daemon.peers = PeerDispatcher(daemon=daemon)
     return daemon
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_members_heard.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_member_statuses.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from thymefork_daemon import members_heard as members_heard_module
+from thymefork_daemon import member_statuses as member_statuses_module
 from thymefork_daemon.capacity import Tier
-from thymefork_daemon.members_heard import MembersHeard
+from thymefork_daemon.member_statuses import MemberStatuses
 from thymefork_net.peers import Heartbeat, OwnedCell
 
-CLOCKED = (members_heard_module,)
+CLOCK_MODULES = (member_statuses_module,)
 
 
 def beat(*, owns=False, in_group=True, store_lost=False, leaving=False, **told):
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def heard(timers):
-    return MembersHeard()
+    return MemberStatuses()
 
 
 def say(heard, timers, times, address="a", **fields):
@@ -32,15 +32,15 @@
         timers.run(250)
 
 
-def is_well(heard, timers):
-    return heard.statuses[0].is_well_for(900.0, timers.now_ms)
+def is_healthy(heard, timers):
+    return heard.statuses[0].is_healthy_for(900.0, timers.now_ms)
 
 
 def test_a_member_is_well_once_it_has_said_so_for_a_while(heard, timers):
     say(heard, timers, 3, tier=3)
-    assert not is_well(heard, timers)
+    assert not is_healthy(heard, timers)
     say(heard, timers, 3, tier=3)
-    assert is_well(heard, timers)
+    assert is_healthy(heard, timers)
 
 
 @pytest.mark.parametrize(
@@ -50,15 +50,15 @@
     say(heard, timers, 6, tier=3)
     say(heard, timers, 1, tier=3, **trouble)
     say(heard, timers, 2, tier=3)
-    assert not is_well(heard, timers)
+    assert not is_healthy(heard, timers)
 
 
 def test_a_member_that_fell_silent_is_not_counted_on(heard, timers):
     say(heard, timers, 6, tier=3)
     timers.run(800)
-    assert not is_well(heard, timers)
+    assert not is_healthy(heard, timers)
     say(heard, timers, 2, tier=3)
-    assert not is_well(heard, timers)
+    assert not is_healthy(heard, timers)
 
 
 def test_the_tier_of_an_owner_is_known_only_if_it_tells_one(heard, timers):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
@@ -10,9 +10,9 @@
 from thymefork_machines.store import JoinResult, MemberRow, PartitionRow
 from thymefork_net import Address
 
-from .fakes import FailingOnce, FakeStore
+from .fakes import FailsOnceListener, FakeStore
 
-CLOCKED = (owner_directory,)
+CLOCK_MODULES = (owner_directory,)
 
 PEER = Address(host="10.0.0.1", port=7000)
 
@@ -24,11 +24,11 @@
 
 @pytest.fixture
 def make(store, timers):
-    def make(on_change=lambda: None, has_to_wait=lambda: False):
+    def make(on_change=lambda: None, must_wait=lambda: False):
         settings = SimpleNamespace(
             instance="edge-1",
             peer=PEER,
-            store=SimpleNamespace(shortest_membership_ms=1_000),
+            store=SimpleNamespace(min_membership_ms=1_000),
         )
         return Membership(
             store=store,
@@ -36,7 +36,7 @@
             settings=settings,
             life="1",
             on_change=on_change,
-            has_to_wait=has_to_wait,
+            must_wait=must_wait,
         )
 
     return make
@@ -86,7 +86,7 @@
     membership = make()
     membership.start()
     deal(store, 3, 7)
-    membership.give_up(7, 3)
+    membership.drop_partition(7, 3)
     deal(store, 3, 7)
     assert 7 not in membership.epochs
     timers.run(300)
@@ -123,7 +123,7 @@
 
 
 def test_a_member_joins_on_though_a_listener_failed(make, store, timers):
-    listener = FailingOnce()
+    listener = FailsOnceListener()
     membership = make(on_change=listener)
     membership.start()
     with pytest.raises(RuntimeError):  # the pool logs it, with its trace
@@ -172,7 +172,7 @@
 
 def test_an_owner_that_did_not_answer_is_forgotten(directory, store):
     address = Address(host="10.0.0.2", port=7000)
-    directory.heard(0, address, 1)
+    directory.record_owner(0, address, 1)
     assert directory.owner_of(0) == address
     directory.forget(0, address)
     assert directory.owner_of(0) is None
@@ -183,11 +183,11 @@
     membership.start()
     assert not membership.in_group
     deal(store, 1)
-    assert membership.is_well
+    assert membership.is_healthy
     timers.run(490)
-    assert membership.is_well
+    assert membership.is_healthy
     timers.run(20)
-    assert membership.store_lost and not membership.is_well
+    assert membership.store_lost and not membership.is_healthy
 
 
 def test_the_store_counts_as_lost_after_joins_that_were_turned_away(
@@ -227,17 +227,17 @@
     deal(store, 1)
     timers.run(1_500)
     joins = answer_joins(store, timers, len(store.joins) - 1, 20)
-    assert not membership.store_lost and not membership.is_well
+    assert not membership.store_lost and not membership.is_healthy
     joins = answer_joins(store, timers, joins, 350)
-    assert not membership.is_well
+    assert not membership.is_healthy
     answer_joins(store, timers, joins, 50)
-    assert membership.is_well
+    assert membership.is_healthy
 
 
 def test_a_member_lets_the_owner_join_first_after_an_outage(make, store, timers):
     """From cab-bogota-large, scale-2: the next owner had 255 workers not listed yet."""
     waits = []
-    membership = make(has_to_wait=lambda: bool(waits))
+    membership = make(must_wait=lambda: bool(waits))
     membership.start()
     deal(store, 1)
     waits.append(True)
@@ -258,16 +258,16 @@
     timers.run(150)
     deal(store, 1, join=0)
     assert membership.in_group and not membership.store_lost
-    assert not membership.is_well
+    assert not membership.is_healthy
     timers.run(500)  # the next join is as slow as the first one
     assert not membership.store_lost
 
 
 def test_the_word_of_a_former_owner_is_passed_over(directory, store):
     former, successor = (Address(host=f"10.0.0.{n}", port=7000) for n in (2, 3))
-    assert directory.heard(0, former, 1)
-    assert directory.heard(0, successor, 2)
-    assert not directory.heard(0, former, 1)
+    assert directory.record_owner(0, former, 1)
+    assert directory.record_owner(0, successor, 2)
+    assert not directory.record_owner(0, former, 1)
     assert directory.owner_of(0) == successor
 
 
@@ -290,7 +290,7 @@
 def test_a_newcomer_that_has_to_wait_sends_no_join(make, store, timers):
     """Its join would be carried out on the store's return, before the owner's."""
     waits = [True]
-    membership = make(has_to_wait=lambda: bool(waits))
+    membership = make(must_wait=lambda: bool(waits))
     membership.start()
     timers.run(2_000)
     assert not store.joins
@@ -323,7 +323,7 @@
     deal(store, 3, 7)
     timers.run(400)  # another join is under way
     late = len(store.joins) - 1
-    assert membership.is_asking
+    assert membership.has_pending_join
     membership.leave(lambda answer: None)
     timers.run(1_000)
     membership.start()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owning_capacity.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_capacity.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from thymefork_daemon.capacity import OwningCapacity, Tier
+from thymefork_daemon.capacity import OwnerCapacity, Tier
 from thymefork_daemon.layout import WORKERS_PER_CELL
 
 
 def capacity(*, cores=2.0, link_mbps=100.0, memory_mb=500.0, workers=WORKERS_PER_CELL):
-    return OwningCapacity(
+    return OwnerCapacity(
         cores=cores, link_mbps=link_mbps, memory_mb=memory_mb, cell_workers=workers
     )
 
@@ -56,4 +56,4 @@
 
 @pytest.mark.parametrize("number", [None, 0, 4, -1])
 def test_a_tier_that_is_not_known_is_none(number):
-    assert Tier.read(number) is None
+    assert Tier.from_number(number) is None
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_directory.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_directory.py
@@ -11,7 +11,7 @@
 
 from .fakes import FakeStore
 
-CLOCKED = (owner_directory,)
+CLOCK_MODULES = (owner_directory,)
 
 OWN = Address(host="10.0.0.1", port=7000)
 OWNER = Address(host="10.0.0.2", port=7000)
@@ -124,7 +124,7 @@
 
 def test_an_epoch_belongs_to_the_owner_that_told_it(directory, store, timers):
     assert directory.epoch_of(0) is None
-    directory.heard(0, OWNER, 3)
+    directory.record_owner(0, OWNER, 3)
     assert directory.epoch_of(0) == 3
     directory.refresh()
     answer_reads(store, timers, (row(SUCCESSOR),), 20)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_load.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_load.py
@@ -6,18 +6,18 @@
 
 import pytest
 
-from thymefork_daemon.capacity import OwnerLoad, Sheddable, Shedding
+from thymefork_daemon.capacity import LoadShedder, OwnerLoad, SheddableWork
 
 SAMPLE_MS = 100.0
 
 
-class Owner:
+class SimulatedOwner:
     """Take turns for a while, with what they meet."""
 
     def __init__(self, *, link_mbps=0.0):
         self.now_ms = 1_000.0
         self.load = OwnerLoad(link_mbps=link_mbps)
-        self.shedding = Shedding(load=self.load)
+        self.load_shedder = LoadShedder(load=self.load)
 
     def run(
         self, for_ms, *, lag_ms=0.0, busy=0.1, append_ms=10.0, join_ms=6.0, queued=0
@@ -25,17 +25,17 @@
         seen = []
         for _ in range(int(for_ms / SAMPLE_MS)):
             self.now_ms += SAMPLE_MS
-            self.load.on_turn(lag_ms=lag_ms, busy_ms=busy * SAMPLE_MS)
-            self.load.on_append(append_ms)
+            self.load.record_cycle(lag_ms=lag_ms, busy_ms=busy * SAMPLE_MS)
+            self.load.record_append(append_ms)
             self.load.sample(self.now_ms, join_ms=join_ms, queued_bytes=queued)
-            self.shedding.follow()
-            seen.append(tuple(self.shedding.kinds))
+            self.load_shedder.update()
+            seen.append(tuple(self.load_shedder.kinds))
         return seen
 
 
 @pytest.fixture
 def owner():
-    owner = Owner()
+    owner = SimulatedOwner()
     owner.run(1_000)
     return owner
 
@@ -48,7 +48,7 @@
 def test_what_matters_least_is_put_off_first_and_taken_up_last(owner):
     rising = owner.run(5_000, lag_ms=250.0)
     order = list(dict.fromkeys(rising))
-    assert order == [(), *(tuple(Sheddable)[:n] for n in (1, 2, 3))]
+    assert order == [(), *(tuple(SheddableWork)[:n] for n in (1, 2, 3))]
     assert owner.load.is_overloaded
     falling = owner.run(5_000)
     assert falling[-1] == ()
@@ -68,7 +68,7 @@
     ],
 )
 def test_each_of_lag_processor_appends_and_queues_overloads_an_owner(sight):
-    owner = Owner(link_mbps=5.0)
+    owner = SimulatedOwner(link_mbps=5.0)
     owner.run(8_000, **sight)
     assert owner.load.is_overloaded
 
@@ -80,15 +80,18 @@
 
 def test_a_store_that_is_slow_for_all_is_not_the_owner_s_doing(owner):
     owner.run(10_000, append_ms=600.0, join_ms=300.0)
-    assert not owner.shedding.kinds
+    assert not owner.load_shedder.kinds
 
 
 def test_a_load_about_the_threshold_changes_nothing_to_and_fro(owner):
     owner.run(5_000, lag_ms=150.0)
-    assert owner.shedding.kinds == [Sheddable.LOG_LINES, Sheddable.IDLE_LOOKS]
+    assert owner.load_shedder.kinds == [
+        SheddableWork.LOG_LINES,
+        SheddableWork.IDLE_LOOKS,
+    ]
     for lag_ms in (100.0, 155.0) * 20:
         seen = owner.run(200, lag_ms=lag_ms)
-        assert set(seen) == {(Sheddable.LOG_LINES, Sheddable.IDLE_LOOKS)}
+        assert set(seen) == {(SheddableWork.LOG_LINES, SheddableWork.IDLE_LOOKS)}
 
 
 def test_where_nothing_is_owned_any_more_the_load_is_gone(owner):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_watch.py
@@ -6,13 +6,13 @@
 
 from thymefork_daemon import owner_watch as owner_watch_module
 from thymefork_daemon.owner_watch import OwnerWatch
-from thymefork_daemon.peer_desk import PeerDesk
+from thymefork_daemon.peer_dispatcher import PeerDispatcher
 from thymefork_net import Address
 from thymefork_net.peers import Heartbeat, OwnedCell
 
-from .fakes import FakeMetrics, owning_parts
+from .fakes import FakeMetrics, capacity_attributes
 
-CLOCKED = (owner_watch_module,)
+CLOCK_MODULES = (owner_watch_module,)
 
 OWNER = Address(host="10.0.0.2", port=7000)
 
@@ -28,15 +28,15 @@
             owner_of=lambda cell: OWNER, remove_dead=removed.append
         ),
         links=SimpleNamespace(
-            is_silent=lambda address, ms: timers.now_ms - heard_ms[address] >= ms,
-            heard_share=lambda ms: daemon.share,
+            is_unresponsive=lambda address, ms: timers.now_ms - heard_ms[address] >= ms,
+            responsive_fraction=lambda ms: daemon.share,
         ),
         membership=SimpleNamespace(
-            is_well=True,
+            is_healthy=True,
             in_group=True,
             store_lost=False,
             renewed_ms=timers.now_ms + 1,
-            hurry=lambda: hurried.append(1),
+            join_now=lambda: hurried.append(1),
         ),
         peers=SimpleNamespace(is_leaving=lambda address: daemon.owner_leaves),
         owner_leaves=False,
@@ -44,7 +44,7 @@
         is_stopping=False,
         timers=timers,
         metrics=FakeMetrics(),
-        **owning_parts(),
+        **capacity_attributes(),
         heard_ms=heard_ms,
         removed=removed,
         share=0.9,
@@ -74,7 +74,7 @@
     membership had lapsed. An owner that leaves is no loss: whoever has the store may
     replace it.
     """
-    daemon.membership.is_well = False
+    daemon.membership.is_healthy = False
     timers.run(500)
     assert not daemon.removed
     daemon.owner_leaves = True
@@ -84,7 +84,7 @@
 
 def test_nobody_without_the_store_takes_out_an_owner_that_leaves(daemon, timers):
     daemon.owner_leaves = True
-    daemon.membership.is_well = False
+    daemon.membership.is_healthy = False
     daemon.membership.store_lost = True
     timers.run(1_000)
     assert not daemon.removed
@@ -104,7 +104,7 @@
 
 
 def test_an_instance_without_the_store_judges_nobody(daemon, timers):
-    daemon.membership.is_well = False
+    daemon.membership.is_healthy = False
     timers.run(2_000)
     assert not daemon.removed
 
@@ -179,19 +179,21 @@
     links = [BreakingLink() for _ in range(3)]
     daemon = SimpleNamespace(
         timers=timers,
-        owners={0: SimpleNamespace(is_serving=True, epoch=1, on_links=lambda: None)},
+        owners={
+            0: SimpleNamespace(is_serving=True, epoch=1, on_links_changed=lambda: None)
+        },
         configuration=None,
         is_stopping=False,
         layout=SimpleNamespace(cells=0),
         membership=SimpleNamespace(
-            in_group=True, store_lost=False, round_trip_ms=6.0, hurry=lambda: None
+            in_group=True, store_lost=False, round_trip_ms=6.0, join_now=lambda: None
         ),
         gateway=SimpleNamespace(on_link_broken=lambda link: None),
         metrics=FakeMetrics(),
-        **owning_parts(),
-        learned_speeds=SimpleNamespace(take_untold=lambda: None),
+        **capacity_attributes(),
+        learned_speeds=SimpleNamespace(take_unannounced=lambda: None),
     )
-    desk = PeerDesk(daemon=daemon)
+    desk = PeerDispatcher(daemon=daemon)
     for link in links:
         link.was_refused = link.connected = False
         link.address = link.listener_address = None
@@ -213,10 +215,10 @@
         layout=SimpleNamespace(cells=0),
         settings=SimpleNamespace(peer=own),
         directory=SimpleNamespace(members={own, *others}),
-        links=SimpleNamespace(all=[], to=opened.add),
+        links=SimpleNamespace(all=[], open_link=opened.add),
         membership=SimpleNamespace(in_group=True, store_lost=False, round_trip_ms=6.0),
         metrics=FakeMetrics(),
-        **owning_parts(),
+        **capacity_attributes(),
     )
-    PeerDesk(daemon=daemon).send_heartbeats()
+    PeerDispatcher(daemon=daemon).send_heartbeats()
     assert len(opened) == 3 and opened < others
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_desk.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -6,9 +6,9 @@
 
 from thymefork_daemon import (
     owner_watch as owner_watch_module,
-    peer_desk as peer_desk_module,
+    peer_dispatcher as peer_desk_module,
 )
-from thymefork_daemon.peer_desk import PeerDesk
+from thymefork_daemon.peer_dispatcher import PeerDispatcher
 from thymefork_net import Address
 from thymefork_net.peers import (
     AdviceReply,
@@ -18,9 +18,9 @@
     OwnedCell,
 )
 
-from .fakes import FakeMetrics, owning_parts
+from .fakes import FakeMetrics, capacity_attributes
 
-CLOCKED = (owner_watch_module, peer_desk_module)
+CLOCK_MODULES = (owner_watch_module, peer_desk_module)
 
 
 class FakeOwner:
@@ -49,13 +49,13 @@
 
 def test_an_answer_that_no_owner_waits_for_is_counted_once(daemon):
     """From a review: such answers were dropped, or taken by others, unseen."""
-    desk = PeerDesk(daemon=daemon)
+    desk = PeerDispatcher(daemon=daemon)
     desk.on_message(None, reply(9))
     assert daemon.metrics.counts == [("odd_answers", "advice_not_awaited")]
 
 
 def test_an_answer_reaches_the_owner_that_asked(daemon):
-    desk = PeerDesk(daemon=daemon)
+    desk = PeerDispatcher(daemon=daemon)
     desk.on_message(None, reply(8))
     assert (daemon.owners[0].taken, daemon.owners[1].taken) == ([], [8])
     assert not daemon.metrics.counts
@@ -66,9 +66,11 @@
     told = []
     for cell in (0, 1, 2):
         daemon.owners[cell] = SimpleNamespace(
-            on_links=lambda cell=cell: told.append(cell) or daemon.owners.pop(cell)
+            on_links_changed=lambda cell=cell: (
+                told.append(cell) or daemon.owners.pop(cell)
+            )
         )
-    PeerDesk(daemon=daemon).on_message(None, Hello(instance="edge-0"))
+    PeerDispatcher(daemon=daemon).on_message(None, Hello(instance="edge-0"))
     assert told == [0, 1, 2]
 
 
@@ -89,11 +91,13 @@
             members={owner, *others}, owner_of=lambda cell: owner, refresh=lambda: None
         ),
         links=SimpleNamespace(
-            all=[], to=opened.append, is_silent=lambda address, ms: asked.append(ms)
+            all=[],
+            open_link=opened.append,
+            is_unresponsive=lambda address, ms: asked.append(ms),
         ),
         membership=SimpleNamespace(in_group=in_group, store_lost=False),
         metrics=FakeMetrics(),
-        **owning_parts(),
+        **capacity_attributes(),
     )
 
 
@@ -104,7 +108,7 @@
     """
     opened = []
     daemon = make_daemon(timers, in_group=False, opened=opened)
-    PeerDesk(daemon=daemon).send_heartbeats()
+    PeerDispatcher(daemon=daemon).send_heartbeats()
     assert opened == [daemon.directory.owner_of(0)]
 
 
@@ -124,12 +128,12 @@
     """It keeps its cells for now, and a join of every member at each beat is dear."""
     daemon = make_daemon(timers, in_group=True, opened=[])
     hurried = []
-    daemon.membership.hurry = lambda: hurried.append(1)
+    daemon.membership.join_now = lambda: hurried.append(1)
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(on_owner=nothing)
-    desk = daemon.peers = PeerDesk(daemon=daemon)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
+    desk = daemon.peers = PeerDispatcher(daemon=daemon)
     owner = daemon.directory.owner_of(0)
     beat_of(desk, owner, leaving=True, store_lost=True)
     assert desk.is_leaving(owner) and not hurried
@@ -139,7 +143,7 @@
 
 def test_an_instance_outside_the_group_watches_no_owner(timers):
     asked = []
-    PeerDesk(daemon=make_daemon(timers, in_group=False, opened=[], asked=asked))
+    PeerDispatcher(daemon=make_daemon(timers, in_group=False, opened=[], asked=asked))
     timers.run(1_000)
     assert not asked
 
@@ -147,7 +151,7 @@
 def test_an_instance_watches_owners_once_it_is_a_member(timers):
     asked = []
     daemon = make_daemon(timers, in_group=False, opened=[], asked=asked)
-    PeerDesk(daemon=daemon)
+    PeerDispatcher(daemon=daemon)
     daemon.membership.in_group = True
     timers.run(300)
     assert asked
@@ -184,10 +188,10 @@
 def make_adviser(timers):
     daemon = make_daemon(timers, in_group=True, opened=[])
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
     daemon.advice = AdviceQueue()
-    daemon.peers = PeerDesk(daemon=daemon)
+    daemon.peers = PeerDispatcher(daemon=daemon)
     return daemon
 
 
@@ -231,13 +235,13 @@
     """News is told once in a while; who owns the cell next may have come since."""
     daemon = make_daemon(timers, in_group=False, opened=[])
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(on_owner=nothing)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
     daemon.learned_speeds = SimpleNamespace(
-        take_untold=lambda: None, of_owners=lambda: ["all"]
+        take_unannounced=lambda: None, of_owned_cells=lambda: ["all"]
     )
-    desk = PeerDesk(daemon=daemon)
+    desk = PeerDispatcher(daemon=daemon)
     daemon.owners = {0: SimpleNamespace(epoch=1, is_serving=True)}
     link = TalkingLink(Address(host="10.0.0.3", port=7000))
     message = Heartbeat(owned=[], config_version=1, leaving=False, in_group=True)
@@ -260,12 +264,12 @@
     """
     daemon = make_daemon(timers, in_group=True, opened=[])
     hurried = []
-    daemon.membership.hurry = lambda: hurried.append(timers.now_ms)
+    daemon.membership.join_now = lambda: hurried.append(timers.now_ms)
     nothing = lambda *arguments: None
-    daemon.owned_cells = SimpleNamespace(on_peer_owns=nothing)
+    daemon.owned_cells = SimpleNamespace(on_peer_ownership=nothing)
     daemon.gateway = SimpleNamespace(on_heartbeat=nothing)
-    daemon.heard_ends = SimpleNamespace(on_owner=nothing)
-    desk = PeerDesk(daemon=daemon)
+    daemon.heard_end_buffer = SimpleNamespace(forward_to_owner=nothing)
+    desk = PeerDispatcher(daemon=daemon)
     link = FakeLink(daemon.directory.owner_of(0))
 
     def beat(*cells, in_group):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
@@ -7,7 +7,7 @@
 from thymefork_daemon import readiness as readiness_module
 from thymefork_daemon.readiness import Readiness
 
-CLOCKED = (readiness_module,)
+CLOCK_MODULES = (readiness_module,)
 
 
 @pytest.fixture
@@ -16,14 +16,16 @@
         configuration=object(),
         is_stopping=False,
         layout=SimpleNamespace(cells=1),
-        settings=SimpleNamespace(orders_by_heartbeat=False),
+        settings=SimpleNamespace(commands_by_heartbeat=False),
         owners={},
         directory=SimpleNamespace(owner_of=lambda cell: "address"),
-        links=SimpleNamespace(hears=lambda address, silence_ms: daemon.hears),
+        links=SimpleNamespace(
+            is_responsive=lambda address, silence_ms: daemon.is_responsive
+        ),
         peers=SimpleNamespace(has_store=lambda address: daemon.owner_has_store),
         owner_has_store=True,
-        reads_store=True,
-        hears=True,
+        can_read_store=True,
+        is_responsive=True,
     )
     return daemon
 
@@ -35,32 +37,32 @@
 def test_an_instance_that_reaches_neither_owner_nor_store_is_cut_off(daemon, timers):
     """From cab-bogota-grown, trouble-1: callers of a cut hall came back to it."""
     readiness = Readiness(daemon=daemon)
-    daemon.hears = daemon.reads_store = False
+    daemon.is_responsive = daemon.can_read_store = False
     assert not readiness.check()
     timers.run(2_400)
-    assert not readiness.is_cut_off
+    assert not readiness.is_disconnected
     timers.run(200)
-    assert readiness.is_cut_off
-    daemon.hears = True
-    assert readiness.check() and not readiness.is_cut_off
+    assert readiness.is_disconnected
+    daemon.is_responsive = True
+    assert readiness.check() and not readiness.is_disconnected
 
 
 def test_an_instance_that_reads_the_store_waits_for_an_owner(daemon, timers):
     readiness = Readiness(daemon=daemon)
-    daemon.hears = False
+    daemon.is_responsive = False
     readiness.check()
     timers.run(5_000)
-    assert not readiness.is_cut_off
+    assert not readiness.is_disconnected
 
 
 def test_an_instance_whose_owner_has_lost_the_store_is_not_ready(daemon, timers):
     """From wattle-tas, hunted days: a cut hall stayed in rotation with its owner."""
     readiness = Readiness(daemon=daemon)
-    daemon.owner_has_store = daemon.reads_store = False
+    daemon.owner_has_store = daemon.can_read_store = False
     assert not readiness.check()
     timers.run(5_000)
     # In an outage for all, callers that came back at once would use up their tries.
-    assert not readiness.is_cut_off
+    assert not readiness.is_disconnected
 
 
 @pytest.mark.parametrize("store_lost", [True, False])
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
@@ -10,7 +10,7 @@
 
 from .fakes import FakeMetrics
 
-STORED, ON_ITS_WAY, NEW = "stored", "on its way", "new"
+STORED, IN_FLIGHT, NEW = "stored", "on its way", "new"
 
 
 class FakeIntake:
@@ -19,11 +19,11 @@
     def __init__(self):
         self.asked = []
 
-    def knows(self, job_id):
+    def is_stored(self, job_id):
         return job_id == STORED
 
-    def has_seen(self, job_id):
-        return job_id in (STORED, ON_ITS_WAY)
+    def has_job(self, job_id):
+        return job_id in (STORED, IN_FLIGHT)
 
     def read(self, respond, job_id, *, account_name):
         self.asked.append(("read", job_id))
@@ -43,16 +43,16 @@
     handler = RequestHandler(
         cell=SimpleNamespace(intake=intake, journal=Journal()),
         ownership=SimpleNamespace(is_certain=lambda: is_certain),
-        pump=SimpleNamespace(store_is_away=pump_says_away),
+        pipeline=SimpleNamespace(is_store_unavailable=pump_says_away),
         metrics=metrics,
         timers=None,  # where nothing is told of a caller's patience, none is needed
-        settle=lambda: None,
+        apply_effects=lambda: None,
     )
     handler.handle(kind, "q", job_id, b"", replies.append)
     return intake.asked, metrics.counts, replies
 
 
-@pytest.mark.parametrize("job_id", [STORED, ON_ITS_WAY, NEW])
+@pytest.mark.parametrize("job_id", [STORED, IN_FLIGHT, NEW])
 @pytest.mark.parametrize("kind", ["read", "submit", "cancel"])
 def test_all_is_decided_while_the_store_answers(kind, job_id):
     asked, counts, replies = handle(kind, job_id)
@@ -67,10 +67,10 @@
     "kind, job_id, decided",
     [
         ("read", STORED, True),
-        ("read", ON_ITS_WAY, False),
+        ("read", IN_FLIGHT, False),
         ("read", NEW, False),
         ("submit", STORED, True),
-        ("submit", ON_ITS_WAY, True),
+        ("submit", IN_FLIGHT, True),
         ("submit", NEW, False),
         ("cancel", STORED, False),
         ("cancel", NEW, False),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
@@ -13,22 +13,22 @@
 from thymefork_daemon import shutdown as shutdown_module
 from thymefork_daemon.shutdown import Shutdown
 
-from .fakes import FakeTimers, use_clock
+from .fakes import FakeTimers, patch_clock
 
-CLOCKED = (shutdown_module,)
+CLOCK_MODULES = (shutdown_module,)
 GRACE_MS = 6_000.0
 
 
 class FakeOwner:
-    """Own a cell; an append is under way while `has_unstored` is set."""
+    """Own a cell; an append is under way while `has_unstored_records` is set."""
 
     def __init__(self, log):
-        self.has_unstored = True
-        self.store_answers = True
+        self.has_unstored_records = True
+        self.is_store_responding = True
         self.ended = False
         self._log = log
 
-    def tell_ends(self):
+    def announce_ends(self):
         self._log.append("told")
 
     def end(self, reason):
@@ -50,7 +50,7 @@
         gateway=SimpleNamespace(open_requests=0),
         membership=SimpleNamespace(
             store_lost=False,
-            leave=lambda on_done, *, for_good: log.append("left"),
+            leave=lambda on_done, *, permanent: log.append("left"),
         ),
         owned_cells=SimpleNamespace(update=lambda: None),
         peers=SimpleNamespace(send_heartbeats=lambda: None),
@@ -65,7 +65,7 @@
     daemon.shutdown.begin()
     timers.run(100)
     assert not daemon.owner.ended
-    daemon.owner.has_unstored = False
+    daemon.owner.has_unstored_records = False
     timers.run(100)
     assert daemon.owner.ended and "left" in daemon.log
 
@@ -79,24 +79,24 @@
 @pytest.mark.parametrize("away_by", ["joins", "appends"])
 def test_an_owner_keeps_its_cells_while_the_store_is_away(daemon, timers, away_by):
     daemon.membership.store_lost = away_by == "joins"
-    daemon.owner.store_answers = away_by != "appends"
+    daemon.owner.is_store_responding = away_by != "appends"
     daemon.shutdown.begin()
     timers.run(4_000)
     assert not daemon.owner.ended
-    assert not daemon.shutdown.is_over()
+    assert not daemon.shutdown.is_complete()
     daemon.membership.store_lost = False
-    daemon.owner.store_answers = True
+    daemon.owner.is_store_responding = True
     timers.run(100)
     assert not daemon.owner.ended  # what it heard is being stored
-    daemon.owner.has_unstored = False
+    daemon.owner.has_unstored_records = False
     timers.run(100)
     assert daemon.owner.ended and "left" in daemon.log
-    assert daemon.shutdown.is_over()
+    assert daemon.shutdown.is_complete()
 
 
 def test_an_owner_without_the_store_keeps_cells_though_nothing_waits(daemon, timers):
     """What runs in them needs its leases renewed."""
-    daemon.owner.has_unstored = False
+    daemon.owner.has_unstored_records = False
     daemon.membership.store_lost = True
     daemon.shutdown.begin()
     timers.run(3_000)
@@ -109,7 +109,7 @@
     timers.run(GRACE_MS - 600)
     assert daemon.log[:2] == ["told", "ended"]
     timers.run(200)
-    assert daemon.shutdown.is_over()
+    assert daemon.shutdown.is_complete()
 
 
 def test_an_instance_whose_cells_are_another_s_does_not_wait(daemon, timers):
@@ -123,11 +123,11 @@
 
 def test_an_instance_without_cells_stops_at_once(monkeypatch):
     timers = FakeTimers()
-    use_clock(monkeypatch, timers, shutdown_module)
+    patch_clock(monkeypatch, timers, shutdown_module)
     left = []
 
-    def leave(on_done, *, for_good):
-        left.append(for_good)
+    def leave(on_done, *, permanent):
+        left.append(permanent)
 
     daemon = SimpleNamespace(
         owners={},
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_standby.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_standby.py
@@ -18,7 +18,7 @@
 
 from .fakes import FakeStore
 
-CLOCKED = (owner_directory, standby_module)
+CLOCK_MODULES = (owner_directory, standby_module)
 
 
 @pytest.fixture(autouse=True, params=[1, 2, 3])
@@ -80,7 +80,7 @@
     began_ms = timers.now_ms
     instances.run(5_000)
     assert 3 <= len(instances.joined) <= max(3, count // 2)
-    assert instances.joined[0] - began_ms <= standby_module.SPREAD_MS + 300
+    assert instances.joined[0] - began_ms <= standby_module.JOIN_JITTER_MS + 300
 
 
 def test_small_ones_leave_large_ones_time_to_return(timers):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telling.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
@@ -9,10 +9,10 @@
 from loguru import logger
 
 from thymefork_cells import effects as fx
-from thymefork_daemon.capacity import Sheddable
-from thymefork_daemon.owner.effect_performer import EffectPerformer
-from thymefork_daemon.telling import LogBudget, Metrics
-from thymefork_daemon.telling.logs import MOST_WAITING_BYTES, LogWriter
+from thymefork_daemon.capacity import SheddableWork
+from thymefork_daemon.owner.effect_executor import EffectExecutor
+from thymefork_daemon.telemetry import LogRateLimiter, Metrics
+from thymefork_daemon.telemetry.logs import MAX_BUFFERED_BYTES, LogWriter
 
 
 @pytest.fixture
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def writer(pipe):
-    writer = LogWriter(descriptor=pipe[1], always={"instance": "edge-1"})
+    writer = LogWriter(descriptor=pipe[1], common_fields={"instance": "edge-1"})
     logger.remove()
     logger.add(writer.sink, level="INFO", format="")
     yield writer
@@ -57,7 +57,7 @@
     for number in range(20_000):
         writer._write(b"x" * 100 + b"%d\n" % number)
     assert writer.dropped > 0
-    assert writer._waiting_bytes <= MOST_WAITING_BYTES
+    assert writer._buffered_bytes <= MAX_BUFFERED_BYTES
 
 
 def test_lines_over_the_budget_are_counted(writer, pipe):
@@ -71,12 +71,12 @@
 
 
 def test_failures_go_before_successes():
-    budget = LogBudget()
+    budget = LogRateLimiter()
     for number in range(1_000):
-        budget.admits(f"event-{number % 50}", "INFO", 5.0)
-    assert not budget.admits("other", "INFO", 5.0)
-    assert budget.admits("failure", "ERROR", 5.0)
-    assert budget.admits("other", "INFO", 6.0)
+        budget.allows(f"event-{number % 50}", "INFO", 5.0)
+    assert not budget.allows("other", "INFO", 5.0)
+    assert budget.allows("failure", "ERROR", 5.0)
+    assert budget.allows("other", "INFO", 6.0)
 
 
 def test_metrics_are_told_in_the_usual_format():
@@ -99,12 +99,12 @@
 
 def test_a_busy_second_hides_no_change_of_ownership():
     """From cab-bogota-grown, trouble-3: `ownership_gained` was over the budget."""
-    budget = LogBudget()
+    budget = LogRateLimiter()
     for event in ("tasks_start", "run_ended", "job_ended", "worker_listed"):
         for _ in range(100):
-            budget.admits(event, "INFO", 1.0)
-    assert not budget.admits("step_waits", "INFO", 1.0)
-    assert budget.admits("ownership_gained", "INFO", 1.0)
+            budget.allows(event, "INFO", 1.0)
+    assert not budget.allows("step_waits", "INFO", 1.0)
+    assert budget.allows("ownership_gained", "INFO", 1.0)
 
 
 @pytest.mark.parametrize("method", ["count", "observe"])
@@ -120,50 +120,50 @@
 
 
 def test_an_effect_that_fails_holds_up_none_of_the_others():
-    performer = EffectPerformer(
+    executor = EffectExecutor(
         cell_index=0,
         metrics=Metrics(),
-        advisers=None,
-        orders=None,
+        advice_dispatcher=None,
+        command_sender=None,
         on_ends_stored=None,
-        tell_ends=None,
-        tell_speeds=None,
+        announce_ends=None,
+        announce_speeds=None,
     )
     replies = []
     reply = fx.Reply(request_id=replies.append, outcome=fx.Outcome.ACCEPTED)
-    performer.perform([object(), reply])
+    executor.execute([object(), reply])
     assert replies == [reply]
 
 
 def test_what_became_of_a_job_is_told_beside_the_lines_of_its_tasks():
     """From cab-bogota-large, quiet-1: 249 of 935 accepted jobs were in the log."""
-    budget = LogBudget()
+    budget = LogRateLimiter()
     admitted = 0
     for number in range(1_000):
-        budget.admits(
+        budget.allows(
             ("tasks_start", "run_ended", "step_waits")[number % 3], "INFO", 1.0
         )
         if number % 10 == 0:
             event = "job_accepted" if number % 20 else "job_ended"
-            admitted += budget.admits(event, "INFO", 1.0)
+            admitted += budget.allows(event, "INFO", 1.0)
     assert admitted == 100
-    assert not all(budget.admits("job_ended", "INFO", 1.0) for _ in range(200))
+    assert not all(budget.allows("job_ended", "INFO", 1.0) for _ in range(200))
 
 
 def test_an_overloaded_owner_leaves_out_routine_lines_alone(writer, pipe):
     metrics = Metrics()
-    performer = EffectPerformer(
+    executor = EffectExecutor(
         cell_index=0,
         metrics=metrics,
-        advisers=None,
-        orders=None,
+        advice_dispatcher=None,
+        command_sender=None,
         on_ends_stored=None,
-        tell_ends=None,
-        tell_speeds=None,
-        sheds=lambda kind: kind is Sheddable.LOG_LINES,
+        announce_ends=None,
+        announce_speeds=None,
+        sheds=lambda kind: kind is SheddableWork.LOG_LINES,
     )
     replies = []
-    performer.perform(
+    executor.execute(
         [
             fx.Note(event="tasks_start"),
             fx.Note(event="job_ended"),
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_worker_list_watch.py
@@ -9,9 +9,9 @@
 from thymefork_daemon.worker_list_watch import WorkerListWatch
 from thymefork_machines.store import NewestResult, ReadResult, StoreRecord
 
-from .fakes import FailingOnce
+from .fakes import FailsOnceListener
 
-CLOCKED = (watch_module,)
+CLOCK_MODULES = (watch_module,)
 
 
 def entry(worker_id, machine="m-1"):
@@ -49,7 +49,7 @@
         on_change=lambda: changes.append(1),
         on_unreadable=lambda: unreadable.append(1),
     )
-    watch.want(True)
+    watch.set_wanted(True)
     records = (entry("a"), entry("b", "m-2"))
     reader.answer(NewestResult(records=records, next_key="", end_offset=2))
     timers.run(400)
@@ -92,20 +92,20 @@
 
 
 def test_the_list_is_read_on_though_a_listener_failed(timers):
-    reader, listener = FakeReader(), FailingOnce()
+    reader, listener = FakeReader(), FailsOnceListener()
     watch = WorkerListWatch(
         store=reader, timers=timers, on_change=listener, on_unreadable=lambda: None
     )
-    watch.want(True)
+    watch.set_wanted(True)
     result = NewestResult(records=(entry("a"),), next_key="", end_offset=1)
     with pytest.raises(RuntimeError):  # the pool logs it, with its trace
         reader.answer(result)
     timers.run(500)
     reader.answer(ReadResult(records=(), next_offset=1))
-    assert set(watch.entries) == {"a"} and len(listener.told) == 1
+    assert set(watch.entries) == {"a"} and len(listener.notifications) == 1
     timers.run(500)
     reader.answer(ReadResult(records=(), next_offset=1))
-    assert len(listener.told) == 1
+    assert len(listener.notifications) == 1
     timers.run(500)
     assert len(reader.calls) == 1
 
@@ -126,7 +126,7 @@
     asked_ms = scene.timers.now_ms
     scene.timers.run(5_000)  # paused, with the answer waiting
     scene.reader.answer(ReadResult(records=(), next_offset=2))
-    assert scene.watch.known_ms == asked_ms
+    assert scene.watch.as_of_ms == asked_ms
 
 
 def test_a_list_that_is_too_old_is_asked_for_sooner(scene):
--- a/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/worker_list_watch.py
@@ -3,12 +3,12 @@
 from attrs import evolve
 from loguru import logger
 
-from thymefork_cells import STALE_MS
+from thymefork_cells import WORKER_LIST_MAX_AGE_MS
 from thymefork_core.exceptions import ProtocolError
 from thymefork_machines import decode_worker
 from thymefork_net import steady_ms
 
-from .owed_news import OwedNews
+from .change_notifier import ChangeNotifier
 
 __all__ = ["WorkerListWatch"]
 
@@ -29,7 +29,7 @@
 class WorkerListWatch:
     """Follow the list while it is wanted.
 
-    `on_unreadable` is called for each record that is no worker's entry. `known_ms` is
+    `on_unreadable` is called for each record that is no worker's entry. `as_of_ms` is
     when the last reading that was answered had been sent: what the list says held then,
     however much later a paused process reads the answer.
     """
@@ -40,16 +40,16 @@
         self._on_unreadable = on_unreadable
         self._store = store
         self._timers = timers
-        self._news = OwedNews(listener=on_change)
+        self._notifier = ChangeNotifier(listener=on_change)
         self._wanted = False
         self._running = False
         self._answered_ms = steady_ms()
         self._returned_until_ms = 0.0
-        self.known_ms = 0.0
+        self.as_of_ms = 0.0
         self._listed = {}
         self._kept = {}
 
-    def want(self, wanted):
+    def set_wanted(self, wanted):
         """Begin or end following."""
         self._wanted = wanted
         if wanted and not self._running:
@@ -60,7 +60,7 @@
 
     def _again(self, action):
         if self._wanted:
-            is_stale = steady_ms() - self.known_ms > STALE_MS
+            is_stale = steady_ms() - self.as_of_ms > WORKER_LIST_MAX_AGE_MS
             period_ms = STALE_PERIOD_MS if is_stale else PERIOD_MS
             self._timers.after(period_ms, action)
         else:
@@ -68,7 +68,7 @@
 
     def _note_answer(self, sent_ms):
         """Note that the store answers; after an outage, let workers come back."""
-        self.known_ms = sent_ms
+        self.as_of_ms = sent_ms
         now_ms = steady_ms()
         if now_ms - self._answered_ms > AWAY_MS and self._listed:
             self._returned_until_ms = now_ms + RETURN_MS
@@ -103,8 +103,8 @@
         entries = self._kept | self._listed
         if entries != self.entries:
             self.entries = entries
-            self._news.owe()
-        self._news.tell()
+            self._notifier.mark_changed()
+        self._notifier.notify()
 
     def _read_newest(self, found, after, offset):
         sent_ms = steady_ms()
--- a/packages/thymefork-entry/src/thymefork_entry/tests/test_leaving.py
+++ b/packages/thymefork-entry/src/thymefork_entry/tests/test_leaving.py
@@ -13,7 +13,7 @@
 TURNS = 6
 
 
-class Front:
+class Frontend:
     """Stand for the front door."""
 
     given = 0
@@ -25,7 +25,7 @@
 
     def __init__(self):
         self.mono_ms = 0
-        self.front = Front()
+        self.front = Frontend()
         self.ended = []
         self.root = Manager()
         Leaving(self.front, self.ended.append).register(self.root)
--- a/packages/thymefork-net/src/thymefork_net/answer_pace.py
+++ b/packages/thymefork-net/src/thymefork_net/adaptive_timeout.py
@@ -1,13 +1,13 @@
 """How long to wait for an answer, by how long answers take."""
 
-__all__ = ["AnswerPace"]
+__all__ = ["AdaptiveTimeout"]
 
 # The pace follows a slower answer at once and forgets it by this factor an answer, so
 # that one slow answer is forgotten after some twenty.
 DECAY = 0.9
 
 
-class AnswerPace:
+class AdaptiveTimeout:
     """Follow the times of answers; tell when a call counts as unanswered.
 
     While calls go unanswered one after the other, the patience grows with each, so
@@ -15,24 +15,24 @@
     Units: milliseconds.
     """
 
-    def __init__(self, *, first_ms, factor, shortest_ms, longest_ms):
-        self._pace_ms = first_ms
+    def __init__(self, *, initial_ms, factor, min_ms, max_ms):
+        self._answer_ms = initial_ms
         self._factor = factor
-        self._shortest_ms = shortest_ms
-        self._longest_ms = longest_ms
-        self._missed_in_row = 0
+        self._min_ms = min_ms
+        self._max_ms = max_ms
+        self._unanswered_in_row = 0
 
-    def answered(self, took_ms):
+    def record_answer_time(self, elapsed_ms):
         """Note an answer."""
-        self._pace_ms = max(took_ms, DECAY * self._pace_ms)
-        self._missed_in_row = 0
+        self._answer_ms = max(elapsed_ms, DECAY * self._answer_ms)
+        self._unanswered_in_row = 0
 
-    def missed(self):
+    def record_unanswered(self):
         """Note a call without an answer."""
-        self._missed_in_row += 1
+        self._unanswered_in_row += 1
 
     @property
     def patience_ms(self):
         """Return how long to wait for the next answer."""
-        usual_ms = max(self._shortest_ms, self._factor * self._pace_ms)
-        return min(self._longest_ms, usual_ms * (1 + self._missed_in_row))
+        base_ms = max(self._min_ms, self._factor * self._answer_ms)
+        return min(self._max_ms, base_ms * (1 + self._unanswered_in_row))
--- a/packages/thymefork-net/src/thymefork_net/http/call.py
+++ b/packages/thymefork-net/src/thymefork_net/http/call.py
@@ -13,14 +13,14 @@
 class HttpCall:
     """Hold a request and what takes its outcome.
 
-    Units: `deadline_ms` and `latest_ms` are on the steady clock. A call that sets
-    `latest_ms` may have a long answer: while parts of it come, its deadline moves on up
+    Units: `deadline_ms` and `max_deadline_ms` are on the steady clock. A call that sets
+    `max_deadline_ms` may have a long answer: while parts of it come, its deadline moves on up
     to that moment. `still_wanted` is asked right before
     the first byte leaves; the call fails unsent where it returns false. A call that
     `wants_new_connection` repeats one that is unanswered: others may be as silent.
     A call with a `first_body` sends that in place of its body as the first call on a
     connection, whose peer may have started again since the last one was answered;
-    `is_first` tells which was sent.
+    `is_first_on_connection` tells which was sent.
     """
 
     address: Address
@@ -28,10 +28,10 @@
     target: str
     on_answer: Callable
     deadline_ms: float
-    latest_ms: float = 0.0
+    max_deadline_ms: float = 0.0
     body: bytes = b""
     first_body: bytes | None = None
-    is_first: bool = False
+    is_first_on_connection: bool = False
     headers: tuple[tuple[str, str], ...] = ()
     still_wanted: Callable | None = None
     wants_new_connection: bool = False
@@ -50,6 +50,6 @@
         return "\r\n".join(lines).encode("ascii") + b"\r\n\r\n" + body
 
     def _body_to_send(self):
-        if self.is_first and self.first_body is not None:
+        if self.is_first_on_connection and self.first_body is not None:
             return self.first_body
         return self.body
--- a/packages/thymefork-net/src/thymefork_net/http/client_connection.py
+++ b/packages/thymefork-net/src/thymefork_net/http/client_connection.py
@@ -43,7 +43,7 @@
         """Carry a call."""
         self.call = call
         call.connection = self
-        call.is_first = not self._has_answered
+        call.is_first_on_connection = not self._has_answered
         self._sent_bytes = 0
         self._body = []
         self._complete = False
@@ -62,13 +62,13 @@
                 self._fail(failure)
                 return
             self._connected = True
-        if self._out and not self._may_begin():
+        if self._out and not self._is_still_wanted():
             self._pool.on_unwanted(self)
             return
         if self._out:
             self._send()
 
-    def _may_begin(self):
+    def _is_still_wanted(self):
         if self._sent_bytes or self.call.still_wanted is None:
             return True
         return self.call.still_wanted()
@@ -98,7 +98,7 @@
         if self._complete:
             self._finish()
         else:
-            self._pool.on_part(self.call)
+            self._pool.on_partial_answer(self.call)
 
     def _finish(self):
         self._has_answered = True
--- a/packages/thymefork-net/src/thymefork_net/http/server_connection.py
+++ b/packages/thymefork-net/src/thymefork_net/http/server_connection.py
@@ -7,7 +7,7 @@
 
 from ..steady import steady_ms
 from ..stream_connection import StreamConnection
-from .incoming import IncomingRequest
+from .incoming_request import IncomingRequest
 
 __all__ = ["ServerConnection"]
 
--- a/packages/thymefork-net/src/thymefork_net/peers/link.py
+++ b/packages/thymefork-net/src/thymefork_net/peers/link.py
@@ -14,9 +14,9 @@
 __all__ = ["Link"]
 
 # The largest message is a caller's job (256 KiB); twice that is never legitimate.
-MOST_MESSAGE_BYTES = 1_048_576
+MAX_MESSAGE_BYTES = 1_048_576
 # A peer that does not read is dropped before it holds much of our memory.
-MOST_QUEUED_BYTES = 4_194_304
+MAX_QUEUED_BYTES = 4_194_304
 
 
 class Link(StreamConnection):
@@ -28,12 +28,12 @@
         self.broken = False
         self.connected = address is None
         self.was_refused = False
-        self.heard_ms = steady_ms()
+        self.last_received_ms = steady_ms()
         self.sent_bytes = 0
         self._sock = sock
         self._links = links
         self._out = bytearray()
-        self._reader = FrameReader(limit_bytes=MOST_MESSAGE_BYTES, peer=str(address))
+        self._reader = FrameReader(limit_bytes=MAX_MESSAGE_BYTES, peer=str(address))
 
     @classmethod
     def open(cls, *, address, links):
@@ -56,13 +56,13 @@
         data = frame(encode(message))
         self.sent_bytes += len(data)
         self._out += data
-        if len(self._out) > MOST_QUEUED_BYTES:
+        if len(self._out) > MAX_QUEUED_BYTES:
             self.on_broken("the peer does not read")
         elif self.connected:
             self.on_writable()
 
     @property
-    def handed_bytes(self):
+    def written_bytes(self):
         """Return how much of `sent_bytes` the socket has taken; the rest never left."""
         return self.sent_bytes - len(self._out)
 
@@ -91,7 +91,7 @@
         data = self._receive()
         if data is None:
             return
-        self.heard_ms = steady_ms()
+        self.last_received_ms = steady_ms()
         try:
             for body in self._reader.feed(data):
                 self._links.on_message(self, decode(body, peer=self.name))
--- a/packages/thymefork-net/src/thymefork_net/peers/links.py
+++ b/packages/thymefork-net/src/thymefork_net/peers/links.py
@@ -29,7 +29,7 @@
         self._server = open_listener(address, BACKLOG)
         sockets.add(self._server, self)
 
-    def to(self, address):
+    def open_link(self, address):
         """Return the link to an address, opening it if need be; None if it can't."""
         link = self._out.get(address)
         if link is None:
@@ -39,26 +39,26 @@
                 link.send(self._hello)
         return link
 
-    def hears(self, address, silence_ms):
+    def is_responsive(self, address, silence_ms):
         """Tell whether a link to an address is up and was heard on lately."""
         link = self._out.get(address)
         if link is None or not link.connected:
             return False
-        return steady_ms() - link.heard_ms < silence_ms
+        return steady_ms() - link.last_received_ms < silence_ms
 
-    def is_silent(self, address, silence_ms):
+    def is_unresponsive(self, address, silence_ms):
         """Tell whether a link to an address is up, but was not heard on lately."""
         link = self._out.get(address)
         if link is None or not link.connected:
             return False
-        return steady_ms() - link.heard_ms >= silence_ms
+        return steady_ms() - link.last_received_ms >= silence_ms
 
-    def heard_share(self, silence_ms):
+    def responsive_fraction(self, silence_ms):
         """Return the share of the open links that were heard on lately, 0 to 1."""
         links = [link for link in self.all if link.connected]
-        heard_after_ms = steady_ms() - silence_ms
-        heard = sum(link.heard_ms > heard_after_ms for link in links)
-        return heard / len(links) if links else 0.0
+        cutoff_ms = steady_ms() - silence_ms
+        responsive = sum(link.last_received_ms > cutoff_ms for link in links)
+        return responsive / len(links) if links else 0.0
 
     @property
     def incoming(self):
@@ -111,9 +111,9 @@
         line.log(level, "link to {} closed: {}", link.name, reason)
         self._listener.on_link_broken(link)
 
-    def drop_silent(self, silence_ms):
+    def close_unresponsive(self, silence_ms):
         """Close the links on which nothing was heard for too long."""
-        oldest_ms = steady_ms() - silence_ms
+        received_after_ms = steady_ms() - silence_ms
         for link in self.all:
-            if link.heard_ms < oldest_ms:
+            if link.last_received_ms < received_after_ms:
                 link.on_broken(f"silent for {silence_ms:.0f} ms")
--- a/packages/thymefork-net/src/thymefork_net/sockets.py
+++ b/packages/thymefork-net/src/thymefork_net/sockets.py
@@ -48,13 +48,13 @@
     def _on_read(self, sock):
         owner = self._owners.get(sock)
         if owner is not None:
-            self._guarded(owner, owner.on_readable)
+            self._call_guarded(owner, owner.on_readable)
 
     @handler("_write")
     def _on_write(self, sock):
         owner = self._owners.get(sock)
         if owner is not None:
-            self._guarded(owner, owner.on_writable)
+            self._call_guarded(owner, owner.on_writable)
 
     @handler("_disconnect", "_error")
     def _on_disconnect(self, sock, *args):
@@ -62,7 +62,7 @@
         if owner is not None:
             owner.on_broken("disconnected")
 
-    def _guarded(self, owner, step):
+    def _call_guarded(self, owner, step):
         try:
             step()
         except Exception:
--- a/packages/thymefork-net/src/thymefork_net/steady.py
+++ b/packages/thymefork-net/src/thymefork_net/steady.py
@@ -17,10 +17,10 @@
 _CLOCK = time.CLOCK_BOOTTIME
 # Each process draws the moment that its periods are counted from, within this time, so
 # that those on one machine do not all wake at once: the longest period in use.
-_LONGEST_PHASE_MS = 1_000.0
+_MAX_PHASE_MS = 1_000.0
 # A timer may be called by a rounding error before its moment; its next one is a period
 # later all the same.
-_ROUNDING_MS = 0.5
+_ROUNDING_TOLERANCE_MS = 0.5
 
 
 def steady_ms():
@@ -41,7 +41,7 @@
         self._heap = []
         self._actions = {}
         self._ids = count(1)
-        self._phase_ms = random.uniform(0.0, _LONGEST_PHASE_MS)
+        self._phase_ms = random.uniform(0.0, _MAX_PHASE_MS)
 
     def at(self, due_ms, action):
         """Call `action` once the steady clock reaches `due_ms`; return its id."""
@@ -62,17 +62,17 @@
         over.
         """
 
-        def again():
+        def fire():
             try:
                 action()
             finally:
-                self.at(self._next_ms(period_ms), again)
+                self.at(self._next_ms(period_ms), fire)
 
-        return self.at(self._next_ms(period_ms), again)
+        return self.at(self._next_ms(period_ms), fire)
 
     def _next_ms(self, period_ms):
         """Return the first multiple of a period that is still to come."""
-        since_ms = steady_ms() - self._phase_ms + _ROUNDING_MS
+        since_ms = steady_ms() - self._phase_ms + _ROUNDING_TOLERANCE_MS
         return self._phase_ms + (since_ms // period_ms + 1) * period_ms
 
     def cancel(self, timer_id):
--- a/packages/thymefork-net/src/thymefork_net/streams.py
+++ b/packages/thymefork-net/src/thymefork_net/streams.py
@@ -19,8 +19,8 @@
 
 RECEIVE_BYTES = 262_144
 # Linger for no time: a close, also at the end of the process, drops what is queued.
-_LINGER_NOT = struct.pack("ii", 1, 0)
-_IN_PROGRESS = (0, errno.EINPROGRESS, errno.EWOULDBLOCK)
+_NO_LINGER = struct.pack("ii", 1, 0)
+_CONNECTING_CODES = (0, errno.EINPROGRESS, errno.EWOULDBLOCK)
 
 
 class StreamBrokenError(Exception):
@@ -63,10 +63,10 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     _prepare(sock)
     code = sock.connect_ex((address.host, address.port))
-    if code in _IN_PROGRESS:
+    if code in _CONNECTING_CODES:
         return sock
     sock.close()
-    raise StreamBrokenError(_name(code), refused=code == errno.ECONNREFUSED)
+    raise StreamBrokenError(_errno_name(code), refused=code == errno.ECONNREFUSED)
 
 
 def _prepare(sock):
@@ -76,7 +76,7 @@
 
 def reset_on_close(sock):
     """Let nothing that is still queued be delivered after the socket is closed."""
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NOT)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
 
 
 def connect_failure(sock):
@@ -84,7 +84,7 @@
     code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if not code:
         return None
-    return StreamBrokenError(_name(code), refused=code == errno.ECONNREFUSED)
+    return StreamBrokenError(_errno_name(code), refused=code == errno.ECONNREFUSED)
 
 
 def receive(sock):
@@ -97,7 +97,7 @@
     except BlockingIOError:
         return None
     except OSError as failure:
-        raise _broken(failure) from failure
+        raise _stream_error(failure) from failure
     if not data:
         raise StreamBrokenError("closed by the peer")
     return data
@@ -113,13 +113,13 @@
     except BlockingIOError:
         return 0
     except OSError as failure:
-        raise _broken(failure) from failure
+        raise _stream_error(failure) from failure
 
 
-def _broken(failure):
+def _stream_error(failure):
     reason = failure.strerror or type(failure).__name__
     return StreamBrokenError(reason, refused=failure.errno == errno.ECONNREFUSED)
 
 
-def _name(code):
+def _errno_name(code):
     return errno.errorcode.get(code, str(code))
--- a/packages/thymefork-net/src/thymefork_net/tests/conftest.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/conftest.py
@@ -17,7 +17,7 @@
         self.timers = SteadyTimers().register(self)
         self.sockets = Sockets().register(self)
 
-    def until(self, condition, within_ms=3_000):
+    def run_until(self, condition, within_ms=3_000):
         """Turn the loop until a condition holds."""
         end_ms = steady_ms() + within_ms
         while not condition():
--- a/packages/thymefork-net/src/thymefork_net/tests/test_heartbeat.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_heartbeat.py
@@ -21,6 +21,6 @@
 
 def test_an_instance_that_knows_no_ranks_is_understood():
     sent = Heartbeat(owned=[], config_version=3, leaving=False)
-    heard = decode(encode(sent), peer="a")
-    assert heard.tier is None and heard.load_percent is None
-    assert heard.best_tier is None and heard.join_ms is None
+    received = decode(encode(sent), peer="a")
+    assert received.tier is None and received.load_percent is None
+    assert received.best_tier is None and received.join_ms is None
