--- a/packages/thymefork-net/src/thymefork_net/tests/test_http.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_http.py
@@ -34,83 +34,83 @@
 
 
 def test_calls_reuse_a_connection(loop, address, served):
-    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=2)
+    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=2)
     _, requests = served
     for number in range(3):
         answers = []
         pool.send(call(address, answers))
-        loop.until(lambda number=number: len(requests) == number + 1)
+        loop.run_until(lambda number=number: len(requests) == number + 1)
         requests[-1].answer(200, b"ok")
-        loop.until(lambda answers=answers: answers)
+        loop.run_until(lambda answers=answers: answers)
         assert (answers[0].status, answers[0].body) == (200, b"ok")
-    assert pool.connects == 1
+    assert pool.connection_count == 1
     assert (requests[0].path, requests[0].query) == ("/x", "y=1")
 
 
 def test_a_call_without_an_answer_fails_at_its_deadline(loop, address, served):
-    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=1)
+    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
     pool.send(call(address, answers, deadline_ms=steady_ms() + 60))
-    loop.until(lambda: answers)
+    loop.run_until(lambda: answers)
     assert answers[0].status == 0 and answers[0].sent
 
 
 def test_a_call_that_is_unwanted_is_not_sent(loop, address, served):
-    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=1)
+    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
     pool.send(call(address, answers, still_wanted=lambda: False))
-    loop.until(lambda: answers)
+    loop.run_until(lambda: answers)
     assert answers[0].status == 0 and not answers[0].sent
     assert not served[1]
 
 
 def test_unwanted_calls_leave_connections_alone(loop, address, served):
     """From a review: in an outage each owed stop cost a connection every 60 ms."""
-    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=1)
+    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     unwanted, answers = [], []
     for _ in range(3):
         pool.send(call(address, unwanted, still_wanted=lambda: False))
-    loop.until(lambda: len(unwanted) == 3)
-    assert pool.connects == 0
+    loop.run_until(lambda: len(unwanted) == 3)
+    assert pool.connection_count == 0
     for number in (1, 2):
         pool.send(call(address, answers, still_wanted=lambda: True))
-        loop.until(lambda number=number: len(served[1]) == number)
+        loop.run_until(lambda number=number: len(served[1]) == number)
         served[1][-1].answer(200, b"ok")
-        loop.until(lambda number=number: len(answers) == number)
+        loop.run_until(lambda number=number: len(answers) == number)
         pool.send(call(address, unwanted, still_wanted=lambda: False))
-    loop.until(lambda: len(unwanted) == 5)
-    assert pool.connects == 1
+    loop.run_until(lambda: len(unwanted) == 5)
+    assert pool.connection_count == 1
     assert not any(answer.status or answer.sent for answer in unwanted)
 
 
 def test_a_call_behind_one_that_became_unwanted_is_sent(loop, address, served):
-    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=1)
+    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     first, unwanted, last = [], [], []
     wanted = [True]
     pool.send(call(address, first))
     for _ in range(2):
         pool.send(call(address, unwanted, still_wanted=lambda: bool(wanted)))
     pool.send(call(address, last))
-    loop.until(lambda: served[1])
+    loop.run_until(lambda: served[1])
     wanted.clear()
     served[1][0].answer(200, b"ok")
-    loop.until(lambda: len(served[1]) == 2)
+    loop.run_until(lambda: len(served[1]) == 2)
     served[1][1].answer(200, b"ok")
-    loop.until(lambda: last)
+    loop.run_until(lambda: last)
     assert first[0].status == last[0].status == 200
     assert len(unwanted) == 2 and not any(answer.sent for answer in unwanted)
-    assert pool.connects == 1
+    assert pool.connection_count == 1
 
 
 def test_a_dead_port_fails_unsent(loop, address):
-    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=1)
+    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
     pool.send(call(address, answers))
-    loop.until(lambda: answers)
+    loop.run_until(lambda: answers)
     assert answers[0].status == 0 and not answers[0].sent
 
 
-def raw(loop, address, data):
+def send_raw(loop, address, data):
     """Send bytes and return what comes until the server has nothing more to say."""
     sock = socket.create_connection((address.host, address.port))
     sock.sendall(data)
@@ -118,7 +118,7 @@
     return sock
 
 
-def read_some(loop, sock, enough):
+def read_until(loop, sock, enough):
     got = bytearray()
 
     def ready():
@@ -128,7 +128,7 @@
             return False
         return enough in got
 
-    loop.until(ready)
+    loop.run_until(ready)
     return bytes(got)
 
 
@@ -139,10 +139,10 @@
     server.limits = ServerLimits(body_bytes=10)
     big = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 50\r\n\r\n" + b"x" * 50
     small = b"POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}"
-    sock = raw(loop, address, big + small)
-    loop.until(lambda: requests)
+    sock = send_raw(loop, address, big + small)
+    loop.run_until(lambda: requests)
     requests[0].answer(200, b"fine")
-    got = read_some(loop, sock, b"fine")
+    got = read_until(loop, sock, b"fine")
     assert got.startswith(b"HTTP/1.1 413") and b"HTTP/1.1 200" in got
     assert [request.path for request in requests] == ["/b"]
 
@@ -157,48 +157,48 @@
 )
 def test_a_head_that_cannot_be_taken_is_answered(loop, address, served, data, status):
     served[0].limits = ServerLimits(header_bytes=1_000)
-    sock = raw(loop, address, data)
-    assert b"HTTP/1.1 " + status in read_some(loop, sock, b"\r\n\r\n")
+    sock = send_raw(loop, address, data)
+    assert b"HTTP/1.1 " + status in read_until(loop, sock, b"\r\n\r\n")
     assert not served[1]
 
 
 def test_requests_on_one_connection_are_answered_in_order(loop, address, served):
     one = b"GET /%d HTTP/1.1\r\nHost: h\r\n\r\n"
-    sock = raw(loop, address, one % 1 + one % 2)
-    loop.until(lambda: len(served[1]) == 2)
+    sock = send_raw(loop, address, one % 1 + one % 2)
+    loop.run_until(lambda: len(served[1]) == 2)
     served[1][1].answer(200, b"second")
     served[1][0].answer(200, b"first!")
-    got = read_some(loop, sock, b"second")
+    got = read_until(loop, sock, b"second")
     assert got.index(b"first!") < got.index(b"second")
 
 
 def test_a_draining_server_answers_and_then_closes(loop, address, served):
     server, requests = served
-    sock = raw(loop, address, b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
-    loop.until(lambda: requests)
+    sock = send_raw(loop, address, b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
+    loop.run_until(lambda: requests)
     server.drain()
     requests[0].answer(200, b"whole")
-    got = read_some(loop, sock, b"whole")
+    got = read_until(loop, sock, b"whole")
     assert b"Connection: close" in got
-    loop.until(lambda: server.open_connections == 0)
+    loop.run_until(lambda: server.open_connections == 0)
 
 
 def test_a_request_is_open_until_its_whole_answer_was_taken(loop, address, served):
     """A process that stops ends once none is open, and what is unsent is lost."""
     server, requests = served
     body = b"x" * 8_000_000  # more than both sockets' buffers hold
-    with raw(loop, address, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n") as sock:
-        loop.until(lambda: requests)
+    with send_raw(loop, address, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n") as sock:
+        loop.run_until(lambda: requests)
         requests[0].answer(200, body)
         assert server.open_requests == 1
-        assert read_some(loop, sock, body).endswith(body)
-        loop.until(lambda: not server.open_requests)
+        assert read_until(loop, sock, body).endswith(body)
+        loop.run_until(lambda: not server.open_requests)
 
 
 def test_a_slow_head_is_answered_408(loop, address, served):
     served[0].limits = ServerLimits(header_timeout_ms=100)
-    sock = raw(loop, address, b"GET /a HTTP/1.1\r\nHost:")
-    assert b"408" in read_some(loop, sock, b"\r\n\r\n")
+    sock = send_raw(loop, address, b"GET /a HTTP/1.1\r\nHost:")
+    assert b"408" in read_until(loop, sock, b"\r\n\r\n")
 
 
 def test_a_call_that_was_given_up_is_reset(loop, address):
@@ -206,10 +206,10 @@
     with socket.socket() as listener:
         listener.bind((address.host, address.port))
         listener.listen()
-        pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=1)
+        pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
         answers = []
         pool.send(call(address, answers, deadline_ms=steady_ms() + 100))
-        loop.until(lambda: answers)
+        loop.run_until(lambda: answers)
         peer, _ = listener.accept()
         peer.settimeout(1.0)
         with pytest.raises(ConnectionResetError):
@@ -218,11 +218,11 @@
         peer.close()
 
 
-class Silencer:
+class UnresponsiveServer:
     """Answer calls until told to; then open connections say nothing, new ones do."""
 
     def __init__(self, loop, address):
-        self.silent = set()
+        self.unresponsive = set()
         self.connections = []
         self._server = HttpServer(
             sockets=loop.sockets,
@@ -235,64 +235,68 @@
         connection = request.connection
         if connection not in self.connections:
             self.connections.append(connection)
-        if connection not in self.silent:
+        if connection not in self.unresponsive:
             request.answer(200, b"ok")
 
-    def silence(self):
+    def stop_answering(self):
         """Let all connections that are open now go silent for good."""
-        self.silent = set(self.connections)
+        self.unresponsive = set(self.connections)
 
 
 @pytest.fixture
-def warm(loop, address):
+def pool_with_stale_connections(loop, address):
     """Return a pool with two idle connections that have both gone silent."""
-    silencer = Silencer(loop, address)
+    unresponsive_server = UnresponsiveServer(loop, address)
     pool = HttpPool(
         sockets=loop.sockets,
         timers=loop.timers,
-        most_per_address=2,
-        distrusts_idle=True,
+        max_per_address=2,
+        closes_idle_on_timeout=True,
     )
     answers = []
     pool.send(call(address, answers))
     pool.send(call(address, answers))
-    loop.until(lambda: len(answers) == 2)
-    assert pool.connects == 2
-    silencer.silence()
+    loop.run_until(lambda: len(answers) == 2)
+    assert pool.connection_count == 2
+    unresponsive_server.stop_answering()
     return pool
 
 
 def test_after_silence_on_one_connection_the_next_call_takes_a_new_one(
-    loop, address, warm
+    loop, address, pool_with_stale_connections
 ):
     first, second = [], []
-    warm.send(call(address, first, deadline_ms=steady_ms() + 60))
-    loop.until(lambda: first)
+    pool_with_stale_connections.send(call(address, first, deadline_ms=steady_ms() + 60))
+    loop.run_until(lambda: first)
     assert first[0].status == 0
-    warm.send(call(address, second, deadline_ms=steady_ms() + 500))
-    loop.until(lambda: second)
-    assert second[0].status == 200 and warm.connects == 3
+    pool_with_stale_connections.send(
+        call(address, second, deadline_ms=steady_ms() + 500)
+    )
+    loop.run_until(lambda: second)
+    assert second[0].status == 200 and pool_with_stale_connections.connection_count == 3
 
 
-def test_a_repeated_call_is_answered_beside_silent_connections(loop, address, warm):
-    first, again = [], []
-    warm.send(call(address, first))
-    warm.send(call(address, again, wants_new_connection=True))
-    loop.until(lambda: again)
-    assert again[0].status == 200 and not first
+def test_a_repeated_call_is_answered_beside_silent_connections(
+    loop, address, pool_with_stale_connections
+):
+    first, retry = [], []
+    pool_with_stale_connections.send(call(address, first))
+    pool_with_stale_connections.send(call(address, retry, wants_new_connection=True))
+    loop.run_until(lambda: retry)
+    assert retry[0].status == 200 and not first
 
 
 def test_the_first_call_on_a_connection_may_have_a_body_of_its_own(
     loop, address, served
 ):
-    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=1)
+    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     _, requests = served
     calls, answers = [], []
     for number in range(2):
         calls.append(call(address, answers, first_body=b"first"))
         pool.send(calls[-1])
-        loop.until(lambda number=number: len(requests) == number + 1)
+        loop.run_until(lambda number=number: len(requests) == number + 1)
         requests[-1].answer(200, b"ok")
-        loop.until(lambda number=number: len(answers) == number + 1)
+        loop.run_until(lambda number=number: len(answers) == number + 1)
     assert [request.body for request in requests] == [b"first", b"{}"]
-    assert [one.is_first for one in calls] == [True, False]
+    assert [one.is_first_on_connection for one in calls] == [True, False]
--- a/packages/thymefork-net/src/thymefork_net/tests/test_links.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_links.py
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def pair(loop):
-    made = []
+    pairs = []
     for name in ("a", "b"):
         listener = Listener()
         links = Links(
@@ -38,8 +38,8 @@
             address=free_address(),
             listener=listener,
         )
-        made.append((links, listener))
-    return made
+        pairs.append((links, listener))
+    return pairs
 
 
 def address_of(links):
@@ -48,57 +48,57 @@
 
 
 def test_messages_go_both_ways_on_one_link(loop, pair):
-    (a, heard_a), (b, heard_b) = pair
-    link = a.to(address_of(b))
+    (a, listener_a), (b, listener_b) = pair
+    link = a.open_link(address_of(b))
     link.send(
         Heartbeat(owned=[OwnedCell(cell=1, epoch=7)], config_version=3, leaving=False)
     )
-    loop.until(lambda: len(heard_b.messages) == 2)
-    assert isinstance(heard_b.messages[0][1], Hello)
-    incoming = heard_b.messages[1][0]
+    loop.run_until(lambda: len(listener_b.messages) == 2)
+    assert isinstance(listener_b.messages[0][1], Hello)
+    incoming = listener_b.messages[1][0]
     assert incoming.peer.instance == "a"
     assert incoming.listener_address == address_of(a)
     assert link.listener_address == address_of(b)
     incoming.send(Heartbeat(owned=[], config_version=4, leaving=True))
-    loop.until(lambda: heard_a.messages)
-    assert heard_a.messages[0][1].leaving
-    assert a.to(address_of(b)) is link
+    loop.run_until(lambda: listener_a.messages)
+    assert listener_a.messages[0][1].leaving
+    assert a.open_link(address_of(b)) is link
 
 
 def test_a_refused_link_says_so(loop, pair):
-    (a, heard), _ = pair
-    a.to(free_address())
-    loop.until(lambda: heard.broken)
-    assert heard.broken[0].was_refused
+    (a, link_listener), _ = pair
+    a.open_link(free_address())
+    loop.run_until(lambda: link_listener.broken)
+    assert link_listener.broken[0].was_refused
 
 
 def test_bytes_that_are_no_message_close_the_link(loop, pair):
-    (a, heard), _ = pair
+    (a, link_listener), _ = pair
     sock = socket.create_connection((address_of(a).host, address_of(a).port))
     sock.sendall(b"\x00\x00\x00\x04oops")
-    loop.until(lambda: heard.broken)
+    loop.run_until(lambda: link_listener.broken)
 
 
 def test_a_silent_link_is_dropped(loop, pair):
-    (a, heard), (b, _) = pair
-    a.to(address_of(b))
-    loop.until(lambda: all(link.connected for link in a.all))
-    a.drop_silent(-1.0)
-    assert heard.broken
+    (a, link_listener), (b, _) = pair
+    a.open_link(address_of(b))
+    loop.run_until(lambda: all(link.connected for link in a.all))
+    a.close_unresponsive(-1.0)
+    assert link_listener.broken
 
 
 def test_a_link_tells_how_much_of_what_was_sent_has_left(loop, pair):
-    (a, _), (b, heard_b) = pair
-    link = a.to(address_of(b))
+    (a, _), (b, listener_b) = pair
+    link = a.open_link(address_of(b))
     link.send(Heartbeat(owned=[], config_version=4, leaving=True))
-    assert link.sent_bytes > 0 and link.handed_bytes == 0
-    loop.until(lambda: len(heard_b.messages) == 2)
-    assert link.handed_bytes == link.sent_bytes
+    assert link.sent_bytes > 0 and link.written_bytes == 0
+    loop.run_until(lambda: len(listener_b.messages) == 2)
+    assert link.written_bytes == link.sent_bytes
 
 
 def test_nothing_has_left_on_a_link_that_was_refused(loop, pair):
-    (a, heard), _ = pair
-    link = a.to(free_address())
+    (a, link_listener), _ = pair
+    link = a.open_link(free_address())
     link.send(Heartbeat(owned=[], config_version=4, leaving=True))
-    loop.until(lambda: heard.broken)
-    assert link.sent_bytes > 0 and link.handed_bytes == 0
+    loop.run_until(lambda: link_listener.broken)
+    assert link.sent_bytes > 0 and link.written_bytes == 0
--- a/packages/thymefork-net/src/thymefork_net/tests/test_long_answers.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_long_answers.py
@@ -18,15 +18,15 @@
     )
 
 
-class Dribbler:
+class SlowServer:
     """Answer in parts that come apart, and keep the last one back if told so."""
 
-    def __init__(self, loop, address, *, parts, apart_ms, stops_after=None):
+    def __init__(self, loop, address, *, parts, part_interval_ms, stops_after=None):
         self._listener = socket.create_server((address.host, address.port))
         self._listener.setblocking(False)
         self._loop = loop
         self._parts = parts
-        self._apart_ms = apart_ms
+        self._part_interval_ms = part_interval_ms
         self._stops_after = stops_after
         self._sock = None
         loop.timers.after(5, self._accept)
@@ -45,7 +45,7 @@
         if sent == self._parts or sent == self._stops_after:
             return
         self._sock.sendall(b"x")
-        self._loop.timers.after(self._apart_ms, lambda: self._send(sent + 1))
+        self._loop.timers.after(self._part_interval_ms, lambda: self._send(sent + 1))
 
     def close(self):
         self._listener.close()
@@ -54,42 +54,44 @@
 
 
 @pytest.fixture
-def dribble(loop, address):
-    dribblers = []
+def serve_slowly(loop, address):
+    servers = []
 
-    def dribble(**fields):
-        dribblers.append(Dribbler(loop, address, **fields))
+    def serve_slowly(**fields):
+        servers.append(SlowServer(loop, address, **fields))
 
-    yield dribble
-    for dribbler in dribblers:
-        dribbler.close()
+    yield serve_slowly
+    for server in servers:
+        server.close()
 
 
 @pytest.mark.parametrize("extra_ms, status", [(2_000, 200), (0, 0), (100, 0)])
 def test_a_long_answer_goes_on_while_its_parts_come(
-    loop, address, dribble, extra_ms, status
+    loop, address, serve_slowly, extra_ms, status
 ):
     """From cab-bogota-large, trouble-3 at a small size: a page was never whole."""
-    dribble(parts=10, apart_ms=30)
-    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=1)
+    serve_slowly(parts=10, part_interval_ms=30)
+    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
     deadline_ms = steady_ms() + 120
-    latest_ms = deadline_ms + extra_ms if extra_ms else 0.0
-    pool.send(call(address, answers, deadline_ms=deadline_ms, latest_ms=latest_ms))
-    loop.until(lambda: answers)
+    max_deadline_ms = deadline_ms + extra_ms if extra_ms else 0.0
+    pool.send(
+        call(address, answers, deadline_ms=deadline_ms, max_deadline_ms=max_deadline_ms)
+    )
+    loop.run_until(lambda: answers)
     assert answers[0].status == status
 
 
 def test_a_long_answer_whose_parts_stop_is_given_up(
-    loop, address, dribble, monkeypatch
+    loop, address, serve_slowly, monkeypatch
 ):
     monkeypatch.setattr(pool_module, "PART_TIMEOUT_MS", 100.0)
-    dribble(parts=10, apart_ms=30, stops_after=5)
-    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, most_per_address=1)
+    serve_slowly(parts=10, part_interval_ms=30, stops_after=5)
+    pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     answers = []
     began_ms = steady_ms()
     fields = {"deadline_ms": began_ms + 120, "latest_ms": began_ms + 5_000}
     pool.send(call(address, answers, **fields))
-    loop.until(lambda: answers)
+    loop.run_until(lambda: answers)
     assert answers[0].status == 0
     assert steady_ms() - began_ms < 1_000
--- a/thymeforkd.py
+++ b/thymeforkd.py
@@ -9,9 +9,9 @@
 
 # circuits loads this old library only to declare itself a namespace, which nothing here
 # needs; it would take half of the time of a restart.
-_NAMESPACES = ModuleType("pkg_resources")
-_NAMESPACES.declare_namespace = lambda name: None
-sys.modules.setdefault("pkg_resources", _NAMESPACES)
+_PKG_RESOURCES = ModuleType("pkg_resources")
+_PKG_RESOURCES.declare_namespace = lambda name: None
+sys.modules.setdefault("pkg_resources", _PKG_RESOURCES)
 sys.path[:0] = [
     str(ROOT / "packages" / f"thymefork-{name}" / "src") for name in PACKAGES
 ]
