--- a/packages/thymefork-net/src/thymefork_net/http/pool.py
+++ b/packages/thymefork-net/src/thymefork_net/http/pool.py
@@ -39,7 +39,7 @@
         self._open_counts = {}
         self._waiting = {}
         self.received_bytes = 0
-        self.connection_count = 0
+        self.connect_count = 0
         timers.every(IDLE_TIMEOUT_MS / 2, self._close_idle)
 
     def send(self, call):
@@ -76,7 +76,7 @@
         connection = ClientConnection(
             sockets=self._sockets, address=call.address, pool=self
         )
-        self.connection_count += 1
+        self.connect_count += 1
         self._open_counts[call.address] = self._open_counts.get(call.address, 0) + 1
         try:
             connection.connect()
--- a/packages/thymefork-net/src/thymefork_net/tests/test_http.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_http.py
@@ -43,7 +43,7 @@
         requests[-1].answer(200, b"ok")
         loop.run_until(lambda answers=answers: answers)
         assert (answers[0].status, answers[0].body) == (200, b"ok")
-    assert pool.connection_count == 1
+    assert pool.connect_count == 1
     assert (requests[0].path, requests[0].query) == ("/x", "y=1")
 
 
@@ -71,7 +71,7 @@
     for _ in range(3):
         pool.send(call(address, unwanted, still_wanted=lambda: False))
     loop.run_until(lambda: len(unwanted) == 3)
-    assert pool.connection_count == 0
+    assert pool.connect_count == 0
     for number in (1, 2):
         pool.send(call(address, answers, still_wanted=lambda: True))
         loop.run_until(lambda number=number: len(served[1]) == number)
@@ -79,7 +79,7 @@
         loop.run_until(lambda number=number: len(answers) == number)
         pool.send(call(address, unwanted, still_wanted=lambda: False))
     loop.run_until(lambda: len(unwanted) == 5)
-    assert pool.connection_count == 1
+    assert pool.connect_count == 1
     assert not any(answer.status or answer.sent for answer in unwanted)
 
 
@@ -99,7 +99,7 @@
     loop.run_until(lambda: last)
     assert first[0].status == last[0].status == 200
     assert len(unwanted) == 2 and not any(answer.sent for answer in unwanted)
-    assert pool.connection_count == 1
+    assert pool.connect_count == 1
 
 
 def test_a_dead_port_fails_unsent(loop, address):
@@ -257,7 +257,7 @@
     pool.send(call(address, answers))
     pool.send(call(address, answers))
     loop.run_until(lambda: len(answers) == 2)
-    assert pool.connection_count == 2
+    assert pool.connect_count == 2
     unresponsive_server.stop_answering()
     return pool
 
@@ -273,7 +273,7 @@
         call(address, second, deadline_ms=steady_ms() + 500)
     )
     loop.run_until(lambda: second)
-    assert second[0].status == 200 and pool_with_stale_connections.connection_count == 3
+    assert second[0].status == 200 and pool_with_stale_connections.connect_count == 3
 
 
 def test_a_repeated_call_is_answered_beside_silent_connections(
