--- a/soak/src/thymefork_soak/accounts.py
+++ b/soak/src/thymefork_soak/accounts.py
@@ -4,11 +4,11 @@
 
 from thymefork_net import steady_ms
 
-from .callers import Caller, JobStory
+from .callers import Caller, SubmittedJob
 
 __all__ = [
     "NAMES",
-    "STEADY",
+    "UNLIMITED",
     "AccountChanges",
     "Accounts",
     "GuestCaller",
@@ -18,14 +18,14 @@
 NAMES = ("a0", "a1", "a2")
 GUEST = "guest"
 # Its callers keep work that lasts; nothing limits it.
-STEADY = "steady"
+UNLIMITED = "steady"
 # From less than one job wants at once up to what an account's callers nearly fill.
 LIMITS_CPU_MILLI = (2_000, 4_000, 8_000)
-WIDEST_CPU_MILLI = 8_000
+MAX_CPU_MILLI = 8_000
 # The pages' bounds: a version is in force everywhere so long after it was acknowledged,
 # and a machine is in touch after so long without a disturbance; and a bit.
-CONFIG_MS = 3_000.0
-CONTACT_MS = 3_000.0
+CONFIG_TIMEOUT_MS = 3_000.0
+RECONNECT_TIMEOUT_MS = 3_000.0
 MARGIN_MS = 300.0
 NO_SUCH_JOB = 410
 UNKNOWN_KEY = 401
@@ -40,7 +40,7 @@
     """Hold what the operators' configuration says of the accounts."""
 
     def __init__(self):
-        self.limits_cpu_milli = dict.fromkeys(NAMES, WIDEST_CPU_MILLI)
+        self.limits_cpu_milli = dict.fromkeys(NAMES, MAX_CPU_MILLI)
         self.guest_has_key = True
         self.guest_changed_ms = 0.0
 
@@ -51,7 +51,7 @@
             for name, cpu in self.limits_cpu_milli.items()
         ]
         keys = [key_of(GUEST)] if self.guest_has_key else []
-        return [*rows, _row(GUEST, 0, keys), _row(STEADY, 0, [key_of(STEADY)])]
+        return [*rows, _row(GUEST, 0, keys), _row(UNLIMITED, 0, [key_of(UNLIMITED)])]
 
 
 def _row(name, cpu_milli, keys):
@@ -77,7 +77,7 @@
                 name = self._random.choice(NAMES)
                 accounts.limits_cpu_milli[name] = self._random.choice(LIMITS_CPU_MILLI)
                 await self._fleet.configure()
-        accounts.limits_cpu_milli = dict.fromkeys(NAMES, WIDEST_CPU_MILLI)
+        accounts.limits_cpu_milli = dict.fromkeys(NAMES, MAX_CPU_MILLI)
         await self._set_guest(True)
 
     async def _set_guest(self, has_key):
@@ -101,8 +101,11 @@
             await asyncio.sleep(self._random.uniform(0.05, 0.5))
             accounts = self._fleet.accounts
             had_key, changed_ms = accounts.guest_has_key, accounts.guest_changed_ms
-            calm_since_ms = (await self._fleet.steer("calm", {}))["calm_since_ms"]
-            due_ms = max(changed_ms + CONFIG_MS, calm_since_ms + CONTACT_MS + CONFIG_MS)
+            calm_since_ms = (await self._fleet.control("calm", {}))["calm_since_ms"]
+            due_ms = max(
+                changed_ms + CONFIG_TIMEOUT_MS,
+                calm_since_ms + RECONNECT_TIMEOUT_MS + CONFIG_TIMEOUT_MS,
+            )
             is_due = steady_ms() > due_ms + MARGIN_MS
             status = await self.call("GET", f"{self._random.getrandbits(64):016x}")
             changed = accounts.guest_changed_ms != changed_ms
@@ -127,8 +130,8 @@
         """Hand jobs in until a moment; none may be taken."""
         while now() < until:
             await asyncio.sleep(self._random.uniform(0.3, 1.5))
-            story = JobStory(job_id=f"{self._random.getrandbits(64):016x}")
-            self.stories.append(story)
-            status = await self.call("POST", story.job_id, self._job())
+            submitted = SubmittedJob(job_id=f"{self._random.getrandbits(64):016x}")
+            self.submitted_jobs.append(submitted)
+            status = await self.call("POST", submitted.job_id, self._job())
             if status == 200:
-                self.broken.append(f"ROUTE: {story.job_id} by a key of nobody")
+                self.broken.append(f"ROUTE: {submitted.job_id} by a key of nobody")
--- a/soak/src/thymefork_soak/callers.py
+++ b/soak/src/thymefork_soak/callers.py
@@ -9,23 +9,23 @@
 
 from .fleet import FRONT
 
-__all__ = ["Caller", "JobStory"]
+__all__ = ["Caller", "SubmittedJob"]
 
-PATIENCE_S = 3.0
-RETRIES = 4
-RETRY_S = 0.4
-LONG_SHARE = 0.2
+CALL_TIMEOUT_S = 3.0
+MAX_RETRIES = 4
+RETRY_DELAY_S = 0.4
+LONG_TASK_SHARE = 0.2
 
 
 @define(kw_only=True)
-class JobStory:
+class SubmittedJob:
     """Hold what a caller knows of its job."""
 
     job_id: str
     accepted: bool = False
-    refused_only: bool = True
+    always_refused: bool = True
     cancelled: bool = False
-    lasting: bool = False
+    long_running: bool = False
     crashing: bool = False
     state: str = ""
     answers: list = field(factory=list)
@@ -35,7 +35,7 @@
     """Submit jobs to daemons of its choice, one after the other."""
 
     def __init__(self, *, fleet, random, account=""):
-        self.stories = []
+        self.submitted_jobs = []
         self._account = account
         self._fleet = fleet
         self._random = random
@@ -44,69 +44,69 @@
     async def work(self, until, now):
         """Submit jobs until a moment."""
         while now() < until:
-            await self._one_job()
+            await self._submit_job()
             await asyncio.sleep(self._random.uniform(0.05, 0.4))
 
-    async def _one_job(self):
-        story = JobStory(job_id=f"{self._random.getrandbits(64):016x}")
-        self.stories.append(story)
+    async def _submit_job(self):
+        submitted = SubmittedJob(job_id=f"{self._random.getrandbits(64):016x}")
+        self.submitted_jobs.append(submitted)
         job = self._job()
-        await self._tell(story, job)
-        for _ in range(1 + RETRIES):
-            status = await self.call("POST", story.job_id, job)
-            story.answers.append(status)
+        await self._announce_job(submitted, job)
+        for _ in range(1 + MAX_RETRIES):
+            status = await self.call("POST", submitted.job_id, job)
+            submitted.answers.append(status)
             if status == 200:
-                story.accepted = True
+                submitted.accepted = True
             if status not in (429, 503):
-                story.refused_only = False
+                submitted.always_refused = False
             if status == 200:
                 break
-            await asyncio.sleep(RETRY_S)
-        if story.accepted and self._random.random() < 0.1:
+            await asyncio.sleep(RETRY_DELAY_S)
+        if submitted.accepted and self._random.random() < 0.1:
             # Without an answer it may have been done as well.
-            await self.cancel(story)
+            await self.cancel(submitted)
 
-    async def _tell(self, story, job, **more):
+    async def _announce_job(self, submitted, job, **more):
         """Tell the stand-in what is about to be submitted, and for whom."""
-        notice = {"id": story.job_id, "job": job, "account": self._account, **more}
-        await self._fleet.steer("job", notice)
+        notice = {"id": submitted.job_id, "job": job, "account": self._account, **more}
+        await self._fleet.control("job", notice)
 
     def _job(self):
         # Some tasks outlast a lease, so that what runs on silent workers matters.
-        estimated_ms = 5_000 if self._random.random() < LONG_SHARE else 500
+        estimated_ms = 5_000 if self._random.random() < LONG_TASK_SHARE else 500
         first = {"count": self._random.randint(1, 6), "cpu": 500, "mem_mb": 64}
         steps = [{**first, "estimated_ms": estimated_ms}]
         if self._random.random() < 0.5:
             steps.append({"count": 2, "cpu": 800, "estimated_ms": 500, "after": [0]})
         return {"spec": f"text {self._random.random()}", "steps": steps}
 
-    async def cancel(self, story):
+    async def cancel(self, submitted):
         """Cancel a job once; tell the stand-in of an acknowledgement."""
-        story.cancelled = True
-        status = await self.call("DELETE", story.job_id)
+        submitted.cancelled = True
+        status = await self.call("DELETE", submitted.job_id)
         # The clock is the stand-in's: both read this machine's steady clock.
         acknowledged_ms = steady_ms()
         if status not in (200, 410):
             return False
-        notice = {"id": story.job_id, "acknowledged_ms": acknowledged_ms}
-        await self._fleet.steer("cancelled", notice)
+        notice = {"id": submitted.job_id, "acknowledged_ms": acknowledged_ms}
+        await self._fleet.control("cancelled", notice)
         return True
 
-    async def read_state(self, story):
+    async def read_state(self, submitted):
         """Ask for a job's state."""
-        return await self.call("GET", story.job_id, want_state=True)
+        return await self.call("GET", submitted.job_id, want_state=True)
 
     async def call(self, method, job_id, document=None, *, want_state=False):
         """Return the answer's status, 0 for none; or the state that it tells."""
         try:
             return await asyncio.wait_for(
-                self._call(method, job_id, document, want_state), PATIENCE_S
+                self._call(method, job_id, document, want_state), CALL_TIMEOUT_S
             )
         except (OSError, EOFError, TimeoutError):
-            self._drop()  # the daemon is gone or silent: the next call goes elsewhere
+            self._close_connection()  # the daemon is gone or silent: the next call goes elsewhere
             return "" if want_state else 0
 
-    def _drop(self):
+    def _close_connection(self):
         if self._connection is not None:
             self._connection[1].close()
         self._connection = None
@@ -128,7 +128,7 @@
         length = int(answer.split("content-length: ")[1].split("\r\n")[0])
         content = await reader.readexactly(length)
         if "connection: close" in answer:
-            self._drop()
+            self._close_connection()
         status = int(answer.split(" ")[1])
         if not want_state:
             return status
--- a/soak/src/thymefork_soak/rooms.py
+++ b/soak/src/thymefork_soak/capacity_changes.py
@@ -2,14 +2,14 @@
 
 import asyncio
 
-__all__ = ["RoomChanges"]
+__all__ = ["CapacityChanges"]
 
 # From nothing up to all of a worker, whose tasks take 0.5 or 0.8 of a core.
-ROOMS_CPU_MILLI = (0, 1_000, 2_000, 4_000, 8_000)
-WHOLE_CPU_MILLI = 8_000
+CAPACITIES_CPU_MILLI = (0, 1_000, 2_000, 4_000, 8_000)
+FULL_CPU_MILLI = 8_000
 
 
-class RoomChanges:
+class CapacityChanges:
     """Change workers' rooms until a moment, then give all of it back."""
 
     def __init__(self, *, fleet, random, workers):
@@ -22,9 +22,9 @@
         while now() < until:
             await asyncio.sleep(self._random.choice((0.5, 1.0, 3.0)))
             worker = self._random.randrange(self._workers)
-            await self._resize(worker, self._random.choice(ROOMS_CPU_MILLI))
+            await self._resize(worker, self._random.choice(CAPACITIES_CPU_MILLI))
         for worker in range(self._workers):
-            await self._resize(worker, WHOLE_CPU_MILLI)
+            await self._resize(worker, FULL_CPU_MILLI)
 
     async def _resize(self, worker, cpu_milli):
-        await self._fleet.steer("resize", {"worker": worker, "cpu_milli": cpu_milli})
+        await self._fleet.control("resize", {"worker": worker, "cpu_milli": cpu_milli})
--- a/soak/src/thymefork_soak/crashing.py
+++ b/soak/src/thymefork_soak/crashing_caller.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from .callers import RETRY_S, Caller, JobStory
+from .callers import RETRY_DELAY_S, Caller, SubmittedJob
 
 __all__ = ["CrashingCaller"]
 
@@ -23,24 +23,26 @@
             await asyncio.sleep(self._random.uniform(*PAUSE_S))
 
     async def _submit(self):
-        story = JobStory(job_id=f"{self._random.getrandbits(64):016x}", crashing=True)
-        self.stories.append(story)
+        submitted = SubmittedJob(
+            job_id=f"{self._random.getrandbits(64):016x}", crashing=True
+        )
+        self.submitted_jobs.append(submitted)
         job = self._job()
-        await self._tell(
-            story,
+        await self._announce_job(
+            submitted,
             job,
-            crashing_task=f"{story.job_id}.0.0.0",
+            crashing_task=f"{submitted.job_id}.0.0.0",
             crashes_after_ms=self._random.choice(CRASH_AFTER_MS),
         )
-        while not story.accepted:
-            status = await self.call("POST", story.job_id, job)
-            story.answers.append(status)
-            story.accepted = status == 200
-            story.refused_only &= status in (429, 503)
-            if story.refused_only and len(story.answers) > 4:
+        while not submitted.accepted:
+            status = await self.call("POST", submitted.job_id, job)
+            submitted.answers.append(status)
+            submitted.accepted = status == 200
+            submitted.always_refused &= status in (429, 503)
+            if submitted.always_refused and len(submitted.answers) > 4:
                 return
-            if not story.accepted:
-                await asyncio.sleep(RETRY_S)
+            if not submitted.accepted:
+                await asyncio.sleep(RETRY_DELAY_S)
 
     def _job(self):
         step = {"count": self._random.randint(1, 3), "cpu": 500, "mem_mb": 64}
--- a/soak/src/thymefork_soak/spoiling.py
+++ b/soak/src/thymefork_soak/entry_corruption.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-__all__ = ["EntrySpoiler"]
+__all__ = ["EntryCorrupter"]
 
 # What it writes, over a worker's entry or under a key of its own.
 VALUES = (
@@ -16,7 +16,7 @@
 )
 
 
-class EntrySpoiler:
+class EntryCorrupter:
     """Write what names no worker, until a moment."""
 
     def __init__(self, *, fleet, random, workers):
@@ -31,4 +31,4 @@
             notice = {"value": self._random.choice(VALUES)}
             if self._random.random() < 0.7:
                 notice["worker"] = self._random.randrange(self._workers)
-            await self._fleet.steer("spoil", notice)
+            await self._fleet.control("spoil", notice)
--- a/soak/src/thymefork_soak/faults.py
+++ b/soak/src/thymefork_soak/faults.py
@@ -18,7 +18,7 @@
 
     def __init__(self, *, fleet, random, workers, rolls=None):
         self.done = []
-        self._rolls = rolls
+        self._restarts = rolls
         self._fleet = fleet
         self._random = random
         self._workers = workers
@@ -72,21 +72,21 @@
 
     async def _outage(self, random):
         mode = random.choice(("silent", "silent", "busy", "reset"))
-        if self._rolls is not None:
-            await self._rolls.begin()
-        await self._fleet.steer("outage", {"mode": mode})
-        roll = asyncio.ensure_future(self._rolls.roll()) if self._rolls else None
+        if self._restarts is not None:
+            await self._restarts.begin()
+        await self._fleet.control("outage", {"mode": mode})
+        roll = asyncio.ensure_future(self._restarts.roll()) if self._restarts else None
         await asyncio.sleep(random.uniform(3.0, 8.0))
-        await self._fleet.steer("outage_end", {})
+        await self._fleet.control("outage_end", {})
         if roll is not None:
             await roll
 
     async def _carry_out(self, fault):
-        await self._fleet.steer("disturb", {"change": 1})
+        await self._fleet.control("disturb", {"change": 1})
         try:
             await fault()
         finally:
-            await self._fleet.steer("disturb", {"change": -1})
+            await self._fleet.control("disturb", {"change": -1})
 
     async def _until_idle(self):
         while self._running:
@@ -150,13 +150,13 @@
         await self._fault_for(target, fault, self._random.uniform(0.5, 5.0))
 
     async def _fault_for(self, target, fault, for_s):
-        await self._fleet.steer("fault", {"target": target, **fault})
+        await self._fleet.control("fault", {"target": target, **fault})
         await asyncio.sleep(for_s)
-        await self._fleet.steer("fault", {"target": target})
+        await self._fleet.control("fault", {"target": target})
 
     async def _worker_crash(self):
         worker = self._random.randrange(self._workers)
-        await self._fleet.steer("crash", {"worker": worker})
+        await self._fleet.control("crash", {"worker": worker})
 
     async def _configure(self):
         await self._fleet.configure(self._random.randint(1, 3))
--- a/soak/src/thymefork_soak/fleet.py
+++ b/soak/src/thymefork_soak/fleet.py
@@ -9,8 +9,8 @@
 import urllib.request
 from pathlib import Path
 
+from .machine_sizes import DEFAULT_SIZE, instance_sizes, worker_speeds
 from .proxy import Proxy
-from .unevenness import EVEN, instance_sizes, worker_speeds
 
 __all__ = ["Daemon", "Fleet"]
 
@@ -51,7 +51,7 @@
 class Daemon:
     """Own one daemon's process, settings, log and proxy."""
 
-    def __init__(self, *, number, folder, platform_host, size=EVEN):
+    def __init__(self, *, number, folder, platform_host, size=DEFAULT_SIZE):
         self.host = f"{platform_host.rpartition('.')[0]}.{number + 2}"
         self._platform_host = platform_host
         self._size = size
@@ -126,17 +126,23 @@
     """Start everything, steer the platform, and end everything by its id."""
 
     def __init__(
-        self, *, instances, workers, seed, folder, accounts=None, is_uneven=False
+        self, *, instances, workers, seed, folder, accounts=None, is_heterogeneous=False
     ):
         self.accounts = accounts
         self._version = 0
         self._host = loopback_host(seed, os.getpid())
-        sizes = instance_sizes(instances, seed) if is_uneven else [EVEN] * instances
+        sizes = (
+            instance_sizes(instances, seed)
+            if is_heterogeneous
+            else [DEFAULT_SIZE] * instances
+        )
         self.daemons = [
             Daemon(number=number, folder=folder, platform_host=self._host, size=size)
             for number, size in enumerate(sizes)
         ]
-        self._speeds = worker_speeds(workers, seed) if is_uneven else [1.0] * workers
+        self._speeds = (
+            worker_speeds(workers, seed) if is_heterogeneous else [1.0] * workers
+        )
         self._seed = seed
         self._platform = None
 
@@ -156,22 +162,22 @@
     async def configure(self, steps=1):
         """Put a later version of the configuration in place."""
         self._version += steps
-        await self.steer("configure", configuration(self._version, self.accounts))
+        await self.control("configure", configuration(self._version, self.accounts))
 
     async def _until_answered(self):
         for _ in range(100):
             try:
-                await self.steer("verdict", {})
+                await self.control("verdict", {})
                 return
             except OSError:
                 await asyncio.sleep(0.1)  # the stand-in is still starting
         raise TimeoutError("the stand-in for the platform does not answer")
 
-    async def steer(self, what, document):
+    async def control(self, what, document):
         """Have the stand-in do something; return what it answers."""
-        return await asyncio.to_thread(self._steer, what, document)
+        return await asyncio.to_thread(self._control_request, what, document)
 
-    def _steer(self, what, document):
+    def _control_request(self, what, document):
         request = urllib.request.Request(
             f"http://{self._host}:{CONTROL}/{what}",
             data=json.dumps(document).encode(),
--- a/soak/src/thymefork_soak/lasting.py
+++ b/soak/src/thymefork_soak/long_running_caller.py
@@ -3,14 +3,14 @@
 import asyncio
 import contextlib
 
-from .callers import RETRY_S, Caller, JobStory
+from .callers import RETRY_DELAY_S, Caller, SubmittedJob
 
-__all__ = ["LastingCaller"]
+__all__ = ["LongRunningCaller"]
 
-LONGEST_KEEP_S = 8.0
+MAX_KEEP_S = 8.0
 
 
-class LastingCaller(Caller):
+class LongRunningCaller(Caller):
     """Keep one lasting job at a time; cancel it until that is acknowledged."""
 
     def __init__(self, *, fleet, random, account=""):
@@ -25,29 +25,29 @@
         """Submit, keep and cancel jobs until told to leave."""
         while not self._leaving.is_set():
             job_id = f"{self._random.getrandbits(64):016x}"
-            story = JobStory(job_id=job_id, lasting=True)
-            self.stories.append(story)
-            await self._submit(story)
-            if story.accepted:
-                keep_s = self._random.uniform(0.3, LONGEST_KEEP_S)
+            submitted = SubmittedJob(job_id=job_id, long_running=True)
+            self.submitted_jobs.append(submitted)
+            await self._submit(submitted)
+            if submitted.accepted:
+                keep_s = self._random.uniform(0.3, MAX_KEEP_S)
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self._leaving.wait(), keep_s)
-                while not await self.cancel(story):
-                    await asyncio.sleep(RETRY_S)
+                while not await self.cancel(submitted):
+                    await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _submit(self, story):
+    async def _submit(self, submitted):
         count = self._random.randint(1, 3)
         step = {"count": count, "cpu": 500, "mem_mb": 64, "long_running": True}
         job = {"spec": f"text {self._random.random()}", "steps": [step]}
-        await self._tell(story, job)
+        await self._announce_job(submitted, job)
         # A job in doubt may run, so it is submitted until it is known to be accepted;
         # one that was refused each time never runs, and may be given up.
-        while not story.accepted:
-            status = await self.call("POST", story.job_id, job)
-            story.answers.append(status)
-            story.accepted = status == 200
-            story.refused_only &= status in (429, 503)
-            if story.refused_only and self._leaving.is_set():
+        while not submitted.accepted:
+            status = await self.call("POST", submitted.job_id, job)
+            submitted.answers.append(status)
+            submitted.accepted = status == 200
+            submitted.always_refused &= status in (429, 503)
+            if submitted.always_refused and self._leaving.is_set():
                 return
-            if not story.accepted:
-                await asyncio.sleep(RETRY_S)
+            if not submitted.accepted:
+                await asyncio.sleep(RETRY_DELAY_S)
--- a/soak/src/thymefork_soak/unevenness.py
+++ b/soak/src/thymefork_soak/machine_sizes.py
@@ -4,7 +4,7 @@
 
 from attrs import frozen
 
-__all__ = ["EVEN", "InstanceSize", "instance_sizes", "worker_speeds"]
+__all__ = ["DEFAULT_SIZE", "InstanceSize", "instance_sizes", "worker_speeds"]
 
 # Of three workers, about one is over twice as fast as the others, as where old machines
 # stand beside new ones.
@@ -32,7 +32,7 @@
         return fields
 
 
-EVEN = InstanceSize()
+DEFAULT_SIZE = InstanceSize()
 LARGE = InstanceSize(cores=2.0, memory_mb=552, link_mbps=200)
 NARROW = InstanceSize(cores=1.3, memory_mb=440, link_mbps=10)
 SMALL = InstanceSize(cores=0.4, memory_mb=160, link_mbps=10)
--- a/soak/src/thymefork_soak/main.py
+++ b/soak/src/thymefork_soak/main.py
@@ -11,20 +11,20 @@
 
 from .accounts import (
     NAMES,
-    STEADY,
+    UNLIMITED,
     AccountChanges,
     Accounts,
     GuestCaller,
     StrangerCaller,
 )
 from .callers import Caller
-from .crashing import CrashingCaller
+from .capacity_changes import CapacityChanges
+from .crashing_caller import CrashingCaller
+from .entry_corruption import EntryCorrupter
 from .faults import FaultPlan
 from .fleet import Fleet
-from .lasting import LastingCaller
-from .rolls import OutageRolls
-from .rooms import RoomChanges
-from .spoiling import EntrySpoiler
+from .long_running_caller import LongRunningCaller
+from .outage_restarts import OutageRestarts
 
 __all__ = ["main", "soak"]
 
@@ -34,7 +34,7 @@
 FINISH_S = 30.0
 WORKERS = 6
 CALLERS = 4
-LASTING_CALLERS = 6
+LONG_RUNNING_CALLERS = 6
 # What was cancelled last is judged only after contact, cancelling and stop; and a bit.
 MARGIN_S = 6.5
 
@@ -46,8 +46,8 @@
     folder,
     *,
     with_accounts=True,
-    with_rolls=False,
-    is_uneven=False,
+    with_restarts=False,
+    is_heterogeneous=False,
 ):
     """Run one soak; return what it broke, and a line on what it saw."""
     rng = random.Random(seed)
@@ -57,7 +57,7 @@
         seed=seed,
         folder=folder,
         accounts=Accounts() if with_accounts else None,
-        is_uneven=is_uneven,
+        is_heterogeneous=is_heterogeneous,
     )
     began_s = time.monotonic()
 
@@ -75,36 +75,36 @@
             )
             for number in range(CALLERS)
         ]
-        rolls = OutageRolls(
+        rolls = OutageRestarts(
             fleet=fleet, random=random.Random(f"{seed} rolls"), workers=WORKERS
         )
         plan = FaultPlan(
             fleet=fleet,
             random=random.Random(rng.random()),
             workers=WORKERS,
-            rolls=rolls if with_rolls else None,
+            rolls=rolls if with_restarts else None,
         )
-        lasting = [
-            LastingCaller(
+        long_running = [
+            LongRunningCaller(
                 fleet=fleet,
                 random=random.Random(f"{seed} lasting {number}"),
-                account=STEADY if with_accounts else "",
+                account=UNLIMITED if with_accounts else "",
             )
-            for number in range(LASTING_CALLERS)
+            for number in range(LONG_RUNNING_CALLERS)
         ]
         crashing = CrashingCaller(
             fleet=fleet,
             random=random.Random(f"{seed} crashing"),
-            account=STEADY if with_accounts else "",
+            account=UNLIMITED if with_accounts else "",
         )
-        rooms = RoomChanges(
+        rooms = CapacityChanges(
             fleet=fleet, random=random.Random(f"{seed} rooms"), workers=WORKERS
         )
-        spoiler = EntrySpoiler(
+        spoiler = EntryCorrupter(
             fleet=fleet, random=random.Random(f"{seed} spoiled"), workers=WORKERS
         )
         askers = _askers(fleet, seed) if with_accounts else []
-        kept = [asyncio.ensure_future(caller.work()) for caller in lasting]
+        kept = [asyncio.ensure_future(caller.work()) for caller in long_running]
         until = SETTLE_S + seconds
         await asyncio.gather(
             plan.work(until, now),
@@ -116,16 +116,21 @@
             *(asker.work(until, now) for asker in askers),
         )
         (folder / "faults.txt").write_text("\n".join([*plan.done, ""]))
-        callers += [*lasting, crashing]
-        broken = await _leave(lasting, kept)
+        callers += [*long_running, crashing]
+        broken = await _leave(long_running, kept)
         await asyncio.sleep(MARGIN_S)
         broken += await _judge(fleet, callers, now)
         broken += [line for asker in askers for line in getattr(asker, "broken", ())]
     finally:
         fleet.stop()
-    stories = [story for caller in callers for story in caller.stories]
-    accepted = sum(story.accepted for story in stories)
-    return broken, f"{len(stories)} jobs, {accepted} accepted, {len(plan.done)} faults"
+    submitted_jobs = [
+        submitted for caller in callers for submitted in caller.submitted_jobs
+    ]
+    accepted = sum(submitted.accepted for submitted in submitted_jobs)
+    return (
+        broken,
+        f"{len(submitted_jobs)} jobs, {accepted} accepted, {len(plan.done)} faults",
+    )
 
 
 def _askers(fleet, seed):
@@ -137,9 +142,9 @@
     ]
 
 
-async def _leave(lasting, kept):
+async def _leave(long_running, kept):
     """End the lasting jobs; return whether some could not be ended."""
-    for caller in lasting:
+    for caller in long_running:
         caller.leave()
     ended, stuck = await asyncio.wait(kept, timeout=FINISH_S)
     for task in ended:
@@ -148,33 +153,39 @@
 
 
 async def _judge(fleet, callers, now):
-    stories = [(caller, story) for caller in callers for story in caller.stories]
-    pending = [row for row in stories if row[1].accepted]
+    submitted_jobs = [
+        (caller, submitted) for caller in callers for submitted in caller.submitted_jobs
+    ]
+    pending = [row for row in submitted_jobs if row[1].accepted]
     until = now() + FINISH_S
     while pending and now() < until:
         left = []
-        for caller, story in pending:
-            story.state = await caller.read_state(story)
-            if story.state not in ("succeeded", "cancelled", "failed"):
-                left.append((caller, story))
+        for caller, submitted in pending:
+            submitted.state = await caller.read_state(submitted)
+            if submitted.state not in ("succeeded", "cancelled", "failed"):
+                left.append((caller, submitted))
         pending = left
         await asyncio.sleep(0.3)
-    verdict = await fleet.steer("verdict", {})
+    verdict = await fleet.control("verdict", {})
     broken = list(verdict["broken"])
     if verdict["faults"]:
         # Without this, a fault that failed midway would excuse all that came after it.
         raise RuntimeError("faults are under way still: nothing cancelled was judged")
     started = set(verdict["started_jobs"])
-    for _, story in stories:
-        if story.refused_only and story.job_id in started:
-            broken.append(f"REFUSED: {story.job_id} ran; answers {story.answers}")
-        wanted = ("succeeded", "cancelled") if story.cancelled else ("succeeded",)
-        if story.lasting:
+    for _, submitted in submitted_jobs:
+        if submitted.always_refused and submitted.job_id in started:
+            broken.append(
+                f"REFUSED: {submitted.job_id} ran; answers {submitted.answers}"
+            )
+        wanted = ("succeeded", "cancelled") if submitted.cancelled else ("succeeded",)
+        if submitted.long_running:
             wanted = ("cancelled",)
-        if story.crashing:
+        if submitted.crashing:
             wanted = ("failed",)
-        if story.accepted and story.state not in wanted:
-            broken.append(f"LOST: {story.job_id} is {story.state or 'not answered'}")
+        if submitted.accepted and submitted.state not in wanted:
+            broken.append(
+                f"LOST: {submitted.job_id} is {submitted.state or 'not answered'}"
+            )
     return broken
 
 
@@ -190,7 +201,14 @@
     """Run the daemons among faults and print one verdict line."""
     folder = Path(tempfile.mkdtemp(prefix="thymefork-soak-"))
     broken, seen = asyncio.run(
-        soak(seed, seconds, instances, folder, with_rolls=rolls, is_uneven=uneven)
+        soak(
+            seed,
+            seconds,
+            instances,
+            folder,
+            with_restarts=rolls,
+            is_heterogeneous=uneven,
+        )
     )
     for line in broken[:20]:
         typer.echo(line)
--- a/soak/src/thymefork_soak/rolls.py
+++ b/soak/src/thymefork_soak/outage_restarts.py
@@ -3,7 +3,7 @@
 import asyncio
 import signal
 
-__all__ = ["OutageRolls"]
+__all__ = ["OutageRestarts"]
 
 # A worker's word that it leaves is read by the owners before the store is gone.
 TOLD_S = 0.8
@@ -13,7 +13,7 @@
 LEAVING = 2
 
 
-class OutageRolls:
+class OutageRestarts:
     """Beside each outage, let some workers leave and roll an instance."""
 
     def __init__(self, *, fleet, random, workers):
@@ -25,7 +25,7 @@
         """Let workers say that they leave."""
         for worker in self._random.sample(range(self._workers), LEAVING):
             after_ms = self._random.uniform(*LEAVES_AFTER_MS)
-            await self._fleet.steer("leave", {"worker": worker, "after_ms": after_ms})
+            await self._fleet.control("leave", {"worker": worker, "after_ms": after_ms})
         await asyncio.sleep(TOLD_S)
 
     async def roll(self):
--- a/soak/src/thymefork_soak/standin/advice.py
+++ b/soak/src/thymefork_soak/standin/advice.py
@@ -2,7 +2,7 @@
 
 import orjson
 
-from .http_face import Face
+from .faulty_server import FaultyServer
 
 __all__ = ["Advice"]
 
@@ -18,7 +18,7 @@
 
     def __init__(self, *, loop, host, port, seed):
         self._loop = loop
-        self.face = Face(
+        self.faulty_server = FaultyServer(
             loop=loop, host=host, port=port, handle=self._on_call, seed=seed
         )
 
--- a/soak/src/thymefork_soak/standin/http_face.py
+++ b/soak/src/thymefork_soak/standin/faulty_server.py
@@ -9,7 +9,7 @@
 from thymefork_net import Address, Sockets, SteadyTimers
 from thymefork_net.http import HttpServer
 
-__all__ = ["Face", "Faults", "Loop"]
+__all__ = ["Faults", "FaultyServer", "Loop"]
 
 
 class Loop(BaseComponent):
@@ -38,7 +38,7 @@
     refuse_hosts: tuple[str, ...] = ()
 
 
-class Face:
+class FaultyServer:
     """Listen, apply the faults, and hand calls to `handle(request, answer)`."""
 
     def __init__(self, *, loop, host, port, handle, seed):
--- a/soak/src/thymefork_soak/standin/ledger.py
+++ b/soak/src/thymefork_soak/standin/invariant_checker.py
@@ -4,23 +4,23 @@
 
 from attrs import define, field
 
-__all__ = ["Ledger"]
+__all__ = ["InvariantChecker"]
 
 # After so many crashes of workers under a task it may be started fewer times than so.
-CRASHES_TO_COUNT_FROM = 3
-TOO_MANY_STARTS = 3
+MIN_CRASHES = 3
+MAX_STARTS_AFTER_CRASHES = 3
 # The pages' bounds: how long a cancelling may take, how long a stop may, and how long
 # a machine and the store have to be undisturbed before bounds of time hold for them.
-CANCEL_MS = 3_000.0
+CANCEL_TIMEOUT_MS = 3_000.0
 STOP_TIMEOUT_MS = 200.0
-CONTACT_MS = 3_000.0
+RECONNECT_TIMEOUT_MS = 3_000.0
 # How long an older version may be in force, and by how much a limit may be passed.
-CONFIG_MS = 3_000.0
-QUOTA_OVERAGE = 0.1
+CONFIG_TIMEOUT_MS = 3_000.0
+QUOTA_TOLERANCE = 0.1
 
 
 @define(kw_only=True)
-class Ledger:
+class InvariantChecker:
     """Judge each start against every run on all workers."""
 
     running: dict = field(factory=dict)
@@ -48,8 +48,8 @@
             self._note(f"TWICE: {where} beside {sorted(self.running[task])}")
         if task in self.done and self.done[task] is not None:
             self._note(f"TWICE: {where} after a noted end")
-        self._judge_start_of_cancelled(job_id, where, now_ms)
-        self._judge_start_after_crashes(task, where)
+        self._check_start_of_cancelled(job_id, where, now_ms)
+        self._check_start_after_crashes(task, where)
         job = self.jobs.get(job_id)
         if job is None or payload != job["spec"]:
             self._note(f"UNASKED: {where}")
@@ -59,18 +59,18 @@
             names = [f"{job_id}.0.{earlier}.{index}" for index in range(count)]
             if not all(name in self.done for name in names):
                 self._note(f"ORDER: {where}")
-        if worker.used_cpu() > worker.counted_cpu(now_ms):
+        if worker.used_cpu() > worker.effective_cpu(now_ms):
             self._note(f"LIMIT: {where}")
         self.running.setdefault(task, set()).add(worker.worker_id)
-        self._judge_limit_of_account(job_id, step, where, now_ms)
+        self._check_account_limit(job_id, step, where, now_ms)
 
     def on_limits(self, limits_cpu_milli, now_ms):
         """Note the accounts' limits of a configuration that was acknowledged."""
         self.limits.append((now_ms, limits_cpu_milli))
 
-    def _judge_limit_of_account(self, job_id, step, where, now_ms):
+    def _check_account_limit(self, job_id, step, where, now_ms):
         account = self.accounts.get(job_id)
-        limits = [limit.get(account, 0) for limit in self._limits_in_force(now_ms)]
+        limits = [limit.get(account, 0) for limit in self._possible_limits(now_ms)]
         if not account or not limits or not all(limits):
             return
         used = sum(
@@ -79,14 +79,14 @@
             if self.accounts.get(task.split(".")[0]) == account
         )
         one_more = self.jobs[job_id]["steps"][int(step)]["cpu"]
-        if used > max(limits) * (1 + QUOTA_OVERAGE) + one_more:
+        if used > max(limits) * (1 + QUOTA_TOLERANCE) + one_more:
             self._note(f"QUOTA: {where}: {account} has {used} of {max(limits)}")
 
     def _cpu_of(self, task):
         job_id, _, step, _ = task.split(".")
         return self.jobs[job_id]["steps"][int(step)]["cpu"]
 
-    def _limits_in_force(self, now_ms):
+    def _possible_limits(self, now_ms):
         """Return the versions of the limits that may be in force, the newest last.
 
         An older one may be until machines in touch must have taken the next.
@@ -95,7 +95,10 @@
         for (_, limits), (next_ms, _) in zip(
             self.limits, self.limits[1:], strict=False
         ):
-            due_ms = max(next_ms, self.calm_since_ms + CONTACT_MS) + CONFIG_MS
+            due_ms = (
+                max(next_ms, self.calm_since_ms + RECONNECT_TIMEOUT_MS)
+                + CONFIG_TIMEOUT_MS
+            )
             if self.faults or now_ms <= due_ms:
                 may_be.append(limits)
         return [*may_be, *(limits for _, limits in self.limits[-1:])]
@@ -110,18 +113,18 @@
         """Note that a worker has crashed under tasks."""
         self.crashes.update(tasks)
 
-    def _judge_start_after_crashes(self, task, where):
+    def _check_start_after_crashes(self, task, where):
         # Only for tasks that crash what starts them, and whichever machine sent it: no
         # owner starts such a task so often, in touch or not.
         if task not in self.crashes_after_ms:
             return
-        if self.crashes[task] < CRASHES_TO_COUNT_FROM:
+        if self.crashes[task] < MIN_CRASHES:
             return
         self.starts_after_crashes[task] += 1
-        if self.starts_after_crashes[task] == TOO_MANY_STARTS:
+        if self.starts_after_crashes[task] == MAX_STARTS_AFTER_CRASHES:
             self._note(f"BUDGET: {where} after {self.crashes[task]} crashes")
 
-    def on_noted(self, task, how, now_ms):
+    def on_end_recorded(self, task, how, now_ms):
         """Note that the system has taken note of an end."""
         if how == "done":
             self.done[task] = now_ms
@@ -135,34 +138,37 @@
         self.faults += change
         self.calm_since_ms = now_ms
 
-    def judge_cancelled(self, now_ms):
+    def check_cancelled(self, now_ms):
         """Judge what runs of jobs whose cancelling was acknowledged.
 
         The allowance: the three seconds and the time of a stop count from the
         acknowledgement, but only within a stretch in which the store is stable and
-        every machine in touch, so from `CONTACT_MS` after the last fault.
+        every machine in touch, so from `RECONNECT_TIMEOUT_MS` after the last fault.
         """
         if self.faults:
             return
-        counted_from_ms = self.calm_since_ms + CONTACT_MS
+        counted_from_ms = self.calm_since_ms + RECONNECT_TIMEOUT_MS
         for task, worker_ids in self.running.items():
             acknowledged_ms = self.cancelled_ms.get(task.split(".")[0])
             if acknowledged_ms is None or not worker_ids:
                 continue
             since_ms = max(acknowledged_ms, counted_from_ms)
-            if now_ms > since_ms + CANCEL_MS + STOP_TIMEOUT_MS:
+            if now_ms > since_ms + CANCEL_TIMEOUT_MS + STOP_TIMEOUT_MS:
                 text = f"UNASKED: {task} runs on at {sorted(worker_ids)}, cancelled"
                 if not any(line.startswith(text) for line in self.broken):
                     ago_ms = now_ms - acknowledged_ms
                     self._note(f"{text} {ago_ms:.0f} ms ago")
 
-    def _judge_start_of_cancelled(self, job_id, where, now_ms):
+    def _check_start_of_cancelled(self, job_id, where, now_ms):
         # A start takes no stop. It counts if all machines are in touch, since it is not
         # seen which one sent the order; what a fault held up arrives within that time.
         acknowledged_ms = self.cancelled_ms.get(job_id)
         if acknowledged_ms is None or self.faults:
             return
-        due_ms = max(acknowledged_ms + CANCEL_MS, self.calm_since_ms + CONTACT_MS)
+        due_ms = max(
+            acknowledged_ms + CANCEL_TIMEOUT_MS,
+            self.calm_since_ms + RECONNECT_TIMEOUT_MS,
+        )
         if now_ms > due_ms:
             ago_ms = now_ms - acknowledged_ms
             self._note(f"UNASKED: {where} started, cancelled {ago_ms:.0f} ms ago")
--- a/soak/src/thymefork_soak/standin/log.py
+++ b/soak/src/thymefork_soak/standin/log.py
@@ -5,7 +5,7 @@
 __all__ = ["Group", "Member", "Partition"]
 
 # The platform gives one of the last five numbers its first answer again.
-REMEMBERED_NUMBERS = 5
+REMEMBERED_SEQUENCES = 5
 
 
 @define(kw_only=True)
@@ -29,7 +29,7 @@
                 self.sequences[writer] = sequence
             elif not records:
                 return None
-            elif 0 <= self.sequences[writer] - sequence < REMEMBERED_NUMBERS:
+            elif 0 <= self.sequences[writer] - sequence < REMEMBERED_SEQUENCES:
                 return None  # it has been done already
             elif sequence != self.sequences[writer] + 1:
                 return {"reason": "seq", "seq": self.sequences[writer] + 1}
@@ -64,7 +64,7 @@
     parts: int
     generation: int = 0
     members: dict = field(factory=dict)
-    holders: dict = field(factory=dict)
+    owners: dict = field(factory=dict)
 
     def join(self, member_id, ttl_ms, generation, now_ms):
         """Let a member in, or renew it; return its partitions."""
@@ -76,14 +76,14 @@
             self.members[member_id] = member
         member.until_ms = now_ms + ttl_ms
         member.generation = max(generation, member.generation)
-        self._deal()
-        return [part for part, owner in self.holders.items() if owner == member_id]
+        self._assign()
+        return [part for part, owner in self.owners.items() if owner == member_id]
 
     def leave(self, member_id):
         """Take a member out."""
         if self.members.pop(member_id, None) is not None:
             self.generation += 1
-            self._deal()
+            self._assign()
 
     def expire(self, now_ms):
         """Take out the members that have lapsed."""
@@ -91,21 +91,21 @@
             if member.until_ms < now_ms:
                 self.leave(member.member_id)
 
-    def _deal(self):
+    def _assign(self):
         """Pass a partition on once its holder is gone or knows the generation.
 
         As on the platform, the newest member is dealt the first block, and passing a
         partition on is a change that raises the generation.
         """
         names = list(reversed(self.members))
-        passed = False
+        is_reassigned = False
         for part in range(self.parts):
             wanted = names[part * len(names) // self.parts] if names else ""
-            holder = self.holders.get(part, "")
+            holder = self.owners.get(part, "")
             if holder == wanted:
                 continue
             old = self.members.get(holder)
             if old is None or old.generation >= self.generation:
-                self.holders[part] = wanted
-                passed = True
-        self.generation += passed
+                self.owners[part] = wanted
+                is_reassigned = True
+        self.generation += is_reassigned
--- a/soak/src/thymefork_soak/standin/process.py
+++ b/soak/src/thymefork_soak/standin/process.py
@@ -9,22 +9,22 @@
 from thymefork_net.http import HttpServer
 
 from .advice import Advice
-from .http_face import Faults, Loop
-from .ledger import Ledger
+from .faulty_server import Faults, Loop
+from .invariant_checker import InvariantChecker
 from .store import Store
 from .worker import Worker
 
 __all__ = ["main"]
 
-BEAT_MS = 500.0
-JUDGE_MS = 100.0
+HEARTBEAT_MS = 500.0
+CHECK_INTERVAL_MS = 100.0
 # Workers that live are listed again within this time after an outage of the store.
 RELIST_MS = 2_000.0
 # An entry goes after three heartbeats without a write.
-LAPSE_MS = 3 * BEAT_MS
-SERVERS = "keyed.servers"
+ENTRY_TTL_MS = 3 * HEARTBEAT_MS
+WORKERS_TOPIC = "keyed.servers"
 # A moment that never comes; JSON knows no infinity.
-LATEST_MS = 1e15
+NEVER_MS = 1e15
 
 
 class Platform:
@@ -32,7 +32,7 @@
 
     def __init__(self, *, loop, host, first_port, speeds, seed):
         self._loop = loop
-        self._ledger = Ledger()
+        self._checker = InvariantChecker()
         self._random = random.Random(f"{seed} relist")
         self.store = Store(loop=loop, host=host, port=first_port, seed=seed)
         self._advice = Advice(loop=loop, host=host, port=first_port + 1, seed=seed)
@@ -49,7 +49,7 @@
                 port=first_port + 3 + number,
                 name=f"m{number}",
                 life=1,
-                ledger=self._ledger,
+                ledger=self._checker,
                 cpu_milli=8_000,
                 seed=seed + number,
                 random=random.Random(seed * 1_000 + number),
@@ -58,40 +58,40 @@
             for number, speed in enumerate(speeds)
         ]
         self._listed = {}
-        self._told = {}
+        self._published = {}
         self._unlisted = set()
-        loop.timers.every(BEAT_MS, self._beat)
-        loop.timers.every(JUDGE_MS, self._judge)
+        loop.timers.every(HEARTBEAT_MS, self._write_heartbeats)
+        loop.timers.every(CHECK_INTERVAL_MS, self._check_cancelled)
 
-    def _beat(self):
+    def _write_heartbeats(self):
         for worker in self._workers:
             if worker in self._unlisted:
                 continue
             old = self._listed.get(worker.name)
             if worker.down_since_ms:
-                self._lapse(worker, old)
+                self._expire_entry(worker, old)
                 continue
             if old and old != worker.worker_id:
-                self.store.put(SERVERS, old, None)
+                self.store.put(WORKERS_TOPIC, old, None)
             told = (
                 worker.worker_id,
                 worker.born_epoch_ms,
                 worker.cpu_milli,
                 worker.draining,
             )
-            if self._told.get(worker.name) != told or old != worker.worker_id:
-                self.store.put(SERVERS, worker.worker_id, worker.entry())
+            if self._published.get(worker.name) != told or old != worker.worker_id:
+                self.store.put(WORKERS_TOPIC, worker.worker_id, worker.entry())
                 self._listed[worker.name] = worker.worker_id
-                self._told[worker.name] = told
+                self._published[worker.name] = told
 
-    def _lapse(self, worker, entry):
+    def _expire_entry(self, worker, entry):
         """Let the entry of a worker that is down go after its heartbeats' silence."""
-        if entry and steady_ms() - worker.down_since_ms > LAPSE_MS:
-            self.store.put(SERVERS, entry, None)
+        if entry and steady_ms() - worker.down_since_ms > ENTRY_TTL_MS:
+            self.store.put(WORKERS_TOPIC, entry, None)
             del self._listed[worker.name]
 
-    def _judge(self):
-        self._ledger.judge_cancelled(steady_ms())
+    def _check_cancelled(self):
+        self._checker.check_cancelled(steady_ms())
 
     def _on_control(self, request):
         body = orjson.loads(request.body or b"{}")
@@ -102,49 +102,50 @@
         limits = {
             row["name"]: row["max_items"]["cpu"] for row in body.get("tenants", ())
         }
-        self._ledger.on_limits(limits, steady_ms())
+        self._checker.on_limits(limits, steady_ms())
         self.store.put("keyed.op", "config", body)
 
     def _job(self, body):
-        self._ledger.jobs[body["id"]] = body["job"]
-        self._ledger.accounts[body["id"]] = body["account"]
+        self._checker.jobs[body["id"]] = body["job"]
+        self._checker.accounts[body["id"]] = body["account"]
         if "crashing_task" in body:
             after_ms = body["crashes_after_ms"]
-            self._ledger.crashes_after_ms[body["crashing_task"]] = after_ms
+            self._checker.crashes_after_ms[body["crashing_task"]] = after_ms
 
     def _fault(self, body):
         target, faults = body.pop("target"), Faults(**body)
         if target == "store":
-            self.store.face.faults = faults
+            self.store.faulty_server.faults = faults
         else:
-            self._workers[int(target)].face.faults = faults
+            self._workers[int(target)].faulty_server.faults = faults
 
     def _outage(self, body):
         self._listed.clear()
         self._unlisted = set(self._workers)
-        self.store.begin_outage(Faults(mode=body["mode"]), SERVERS)
+        self.store.begin_outage(Faults(mode=body["mode"]), WORKERS_TOPIC)
 
     def _outage_end(self, body):
-        self.store.end_outage(SERVERS)
+        self.store.end_outage(WORKERS_TOPIC)
         for worker in self._workers:
             self._loop.timers.after(
-                self._random.uniform(0.0, RELIST_MS), lambda one=worker: self._list(one)
+                self._random.uniform(0.0, RELIST_MS),
+                lambda one=worker: self._relist(one),
             )
 
-    def _list(self, worker):
-        if self.store.face.outage is None:
+    def _relist(self, worker):
+        if self.store.faulty_server.outage is None:
             self._unlisted.discard(worker)
-            self._beat()
+            self._write_heartbeats()
 
     def _disturb(self, body):
-        self._ledger.on_fault(body["change"], steady_ms())
+        self._checker.on_fault(body["change"], steady_ms())
 
     def _calm(self, body):
-        since_ms = float("inf") if self._ledger.faults else self._ledger.calm_since_ms
-        return {"calm_since_ms": min(since_ms, LATEST_MS)}
+        since_ms = float("inf") if self._checker.faults else self._checker.calm_since_ms
+        return {"calm_since_ms": min(since_ms, NEVER_MS)}
 
     def _cancelled(self, body):
-        self._ledger.on_cancelled(body["id"], body["acknowledged_ms"])
+        self._checker.on_cancelled(body["id"], body["acknowledged_ms"])
 
     def _resize(self, body):
         self._workers[body["worker"]].resize(body["cpu_milli"])
@@ -152,13 +153,15 @@
     def _spoil(self, body):
         """Write as another writer does; a worker writes over it within two beats."""
         if "worker" not in body:
-            self.store.put_raw(SERVERS, "i-of-another", body["value"].encode())
+            self.store.put_raw(WORKERS_TOPIC, "i-of-another", body["value"].encode())
             return
         worker = self._workers[body["worker"]]
         if worker in self._unlisted or worker.down_since_ms:
             return
-        self.store.put_raw(SERVERS, worker.worker_id, body["value"].encode())
-        self._loop.timers.after(BEAT_MS, lambda: self._told.pop(worker.name, None))
+        self.store.put_raw(WORKERS_TOPIC, worker.worker_id, body["value"].encode())
+        self._loop.timers.after(
+            HEARTBEAT_MS, lambda: self._published.pop(worker.name, None)
+        )
 
     def _leave(self, body):
         self._workers[body["worker"]].leave(body["after_ms"])
@@ -167,13 +170,13 @@
         self._workers[body["worker"]].crash()
 
     def _verdict(self, body):
-        self._judge()
+        self._check_cancelled()
         return {
-            "broken": self._ledger.broken,
-            "faults": self._ledger.faults,
-            "starts": self._ledger.starts,
-            "started_jobs": sorted(self._ledger.started_jobs),
-            "done": sorted(self._ledger.done),
+            "broken": self._checker.broken,
+            "faults": self._checker.faults,
+            "starts": self._checker.starts,
+            "started_jobs": sorted(self._checker.started_jobs),
+            "done": sorted(self._checker.done),
         }
 
 
--- a/soak/src/thymefork_soak/standin/store.py
+++ b/soak/src/thymefork_soak/standin/store.py
@@ -8,7 +8,7 @@
 
 from thymefork_net import steady_ms
 
-from .http_face import Face
+from .faulty_server import FaultyServer
 from .log import Group, Partition
 
 __all__ = ["Store"]
@@ -26,7 +26,7 @@
         self._loop = loop
         self._topics = {}
         self._groups = {}
-        self.face = Face(
+        self.faulty_server = FaultyServer(
             loop=loop, host=host, port=port, handle=self._on_call, seed=seed
         )
 
@@ -42,19 +42,19 @@
         """Write any bytes under a key."""
         partition = self.partition(topic)
         partition.put(key, value)
-        self._wake(partition)
+        self._answer_waiters(partition)
 
     def begin_outage(self, faults, lapsing_topic):
         """Go away; all entries of a topic lapse meanwhile, and nobody sees it yet."""
-        self.face.outage = faults
+        self.faulty_server.outage = faults
         partition = self.partition(lapsing_topic)
         for key in list(partition.newest):
             partition.put(key, b"")
 
     def end_outage(self, lapsed_topic):
         """Come back, and show what has lapsed to those who wait for it."""
-        self.face.outage = None
-        self._wake(self.partition(lapsed_topic))
+        self.faulty_server.outage = None
+        self._answer_waiters(self.partition(lapsed_topic))
 
     def _on_call(self, request, answer):
         query = {name: rows[0] for name, rows in parse_qs(request.query).items()}
@@ -80,7 +80,7 @@
             if refusal is not None:
                 answer(409, refusal)
                 return
-            self._wake(partition)
+            self._answer_waiters(partition)
             answer(200, {"offset": end, "end_offset": len(partition.records)})
 
         self._loop.timers.after(APPEND_MS, done)
@@ -108,15 +108,15 @@
         waiter = (offset, answer)
         partition.waiting.append(waiter)
         self._loop.timers.after(
-            int(query["wait_ms"]), lambda: self._give_up(partition, waiter)
+            int(query["wait_ms"]), lambda: self._answer_on_timeout(partition, waiter)
         )
 
-    def _give_up(self, partition, waiter):
+    def _answer_on_timeout(self, partition, waiter):
         if waiter in partition.waiting:
             partition.waiting.remove(waiter)
             waiter[1](200, raw=_encode(partition, waiter[0]))
 
-    def _wake(self, partition):
+    def _answer_waiters(self, partition):
         waiting, partition.waiting = partition.waiting, []
         for offset, answer in waiting:
             answer(200, raw=_encode(partition, offset))
@@ -141,9 +141,7 @@
     def _log_owners(self, request, query, answer):
         group = self._group(query["group"])
         group.expire(steady_ms())
-        rows = [
-            ["keyed.cells", part, owner, 0] for part, owner in group.holders.items()
-        ]
+        rows = [["keyed.cells", part, owner, 0] for part, owner in group.owners.items()]
         answer(200, {"owners": [row for row in rows if row[2]]})
 
 
--- a/soak/src/thymefork_soak/standin/worker.py
+++ b/soak/src/thymefork_soak/standin/worker.py
@@ -7,23 +7,23 @@
 
 from thymefork_net import steady_ms
 
-from .http_face import Face, Faults
+from .faulty_server import Faults, FaultyServer
 from .worker_run import Waiter, WorkerRun
 
 __all__ = ["Worker"]
 
 TICK_MS = 10.0
 # A few tasks that last fail within the longest time.
-LASTING_FAIL_SHARE = 0.1
-LASTING_FAIL_MS = 8_000.0
+LONG_RUNNING_FAIL_SHARE = 0.1
+LONG_RUNNING_MAX_FAIL_MS = 8_000.0
 # A room that has shrunk counts after the time of contact and a heartbeat.
-SHRINK_MS = 3_500.0
+SHRINK_GRACE_MS = 3_500.0
 # A worker that a task has crashed is back after so long.
-DOWN_MS = (1_000.0, 4_000.0)
+DOWNTIME_MS = (1_000.0, 4_000.0)
 # Most workers start again under the id that they had.
-KEEPS_ID_SHARE = 0.75
+SAME_ID_SHARE = 0.75
 # What the clock of a life shows as it begins, and how far ahead a lease may reach.
-FIRST_CLOCK_MS = 1.0
+INITIAL_CLOCK_MS = 1.0
 MAX_HOLD_MS = 10_000.0
 
 
@@ -52,11 +52,11 @@
         self.cpu_milli = cpu_milli
         self.address = f"{host}:{port}"
         self.down_since_ms = 0.0
-        self._rooms = []
+        self._earlier_capacities = []
         self._loop = loop
-        self._ledger = ledger
+        self._checker = ledger
         self._random = random
-        self.face = Face(
+        self.faulty_server = FaultyServer(
             loop=loop, host=host, port=port, handle=self._on_call, seed=seed
         )
         self._reset(life)
@@ -80,54 +80,58 @@
     def leave(self, after_ms):
         """Say that this life ends, and end it after a while."""
         self.draining, life = True, self.life
-        self._loop.timers.after(after_ms, lambda: self._end_life(life))
+        self._loop.timers.after(after_ms, lambda: self._end_incarnation(life))
 
-    def _end_life(self, life):
+    def _end_incarnation(self, life):
         if self.life == life:
-            self.crash(self._random.uniform(*DOWN_MS))
+            self.crash(self._random.uniform(*DOWNTIME_MS))
 
     def crash(self, down_ms=0.0):
         """Begin a new life, out of reach for a while: everything is lost."""
         tasks = {task for task, _ in self._running}
         for task in tasks:
-            self._ledger.on_end(self, task, "crashed")
-        self._ledger.on_crash(tasks)
-        self.face.close_connections()
-        if self._id_random.random() >= KEEPS_ID_SHARE:
+            self._checker.on_end(self, task, "crashed")
+        self._checker.on_crash(tasks)
+        self.faulty_server.close_connections()
+        if self._id_random.random() >= SAME_ID_SHARE:
             self._id_number += 1
         self._reset(self.life + 1)
         if down_ms:
             self.down_since_ms = steady_ms()
-            self.face.outage = Faults(mode="reset")
-            self._loop.timers.after(down_ms, self._come_back)
+            self.faulty_server.outage = Faults(mode="reset")
+            self._loop.timers.after(down_ms, self._restart)
 
-    def _come_back(self):
+    def _restart(self):
         self.down_since_ms = 0.0
-        self.face.outage = None
+        self.faulty_server.outage = None
         self._reset(self.life)
 
     def _clock_ms(self):
         """Return what the clock of this life shows."""
-        return int(steady_ms() - self._began_ms + FIRST_CLOCK_MS)
+        return int(steady_ms() - self._began_ms + INITIAL_CLOCK_MS)
 
     def _take_lease(self, deadline_ms):
         """Take a deadline on this life's clock; one too far ahead is cut."""
-        until_ms = deadline_ms + self._began_ms - FIRST_CLOCK_MS
+        until_ms = deadline_ms + self._began_ms - INITIAL_CLOCK_MS
         until_ms = min(until_ms, steady_ms() + MAX_HOLD_MS)
         self._lease_until_ms = max(self._lease_until_ms, until_ms)
 
-    def _crash_by(self, key, life):
+    def _crash_if_running(self, key, life):
         if self.life == life and key in self._running:
-            self.crash(self._random.uniform(*DOWN_MS))
+            self.crash(self._random.uniform(*DOWNTIME_MS))
 
     def resize(self, cpu_milli):
         """Have more or less room; the entry tells it with the next heartbeat."""
-        self._rooms.append((steady_ms(), self.cpu_milli))
+        self._earlier_capacities.append((steady_ms(), self.cpu_milli))
         self.cpu_milli = cpu_milli
 
-    def counted_cpu(self, now_ms):
+    def effective_cpu(self, now_ms):
         """Return the room that counts: one that has shrunk counts a while later."""
-        recent = [cpu for until_ms, cpu in self._rooms if now_ms - until_ms < SHRINK_MS]
+        recent = [
+            cpu
+            for until_ms, cpu in self._earlier_capacities
+            if now_ms - until_ms < SHRINK_GRACE_MS
+        ]
         return max([self.cpu_milli, *recent])
 
     def used_cpu(self):
@@ -158,7 +162,7 @@
             fresh = any(row[0] > waiter.last_seen for row in self._ended)
             if fresh or now_ms > waiter.until_ms:
                 self._waiters.remove(waiter)
-                waiter.answer(200, self._listing())
+                waiter.answer(200, self._report())
 
     def _end(self, key, how):
         task, run_id = key
@@ -166,9 +170,9 @@
         self._closed[task] = max(run_id, self._closed.get(task, 0))
         self._ended.append([self._next_end, task, run_id, how, ""])
         self._next_end += 1
-        self._ledger.on_end(self, task, how)
+        self._checker.on_end(self, task, how)
 
-    def _listing(self):
+    def _report(self):
         now_ms = steady_ms()
         running = [
             [run.task, run.run_id, "", run.percent(now_ms)]
@@ -218,15 +222,17 @@
 
     def _run(self, body, key):
         task, run_id = key
-        job = self._ledger.jobs.get(task.split(".")[0])
+        job = self._checker.jobs.get(task.split(".")[0])
         step = (
             job["steps"][int(task.split(".")[2])]
             if job
             else {"cpu": 0, "estimated_ms": 500}
         )
         now_ms = steady_ms()
-        lasting = step.get("long_running", False)
-        works_ms, how = self._lasting() if lasting else self._ending(step)
+        long_running = step.get("long_running", False)
+        works_ms, how = (
+            self._draw_long_running_end() if long_running else self._draw_end(step)
+        )
         self._running[key] = WorkerRun(
             task=task,
             run_id=run_id,
@@ -234,23 +240,25 @@
             began_ms=now_ms,
             ends_ms=now_ms + works_ms,
             how=how,
-            lasting=lasting,
+            long_running=long_running,
         )
-        self._ledger.on_start(self, task, run_id, body["spec"], now_ms)
-        crashes_after_ms = self._ledger.crashes_after_ms.get(task)
+        self._checker.on_start(self, task, run_id, body["spec"], now_ms)
+        crashes_after_ms = self._checker.crashes_after_ms.get(task)
         if crashes_after_ms is not None:
             self._running[key].ends_ms = float("inf")
             life = self.life
-            self._loop.timers.after(crashes_after_ms, lambda: self._crash_by(key, life))
+            self._loop.timers.after(
+                crashes_after_ms, lambda: self._crash_if_running(key, life)
+            )
 
-    def _ending(self, step):
+    def _draw_end(self, step):
         works_ms = self._random.uniform(0.2, 1.8) * step["estimated_ms"]
         works_ms /= self._speed
         return works_ms, "failed" if self._random.random() < 0.02 else "done"
 
-    def _lasting(self):
-        if self._random.random() < LASTING_FAIL_SHARE:
-            return self._random.uniform(0.0, LASTING_FAIL_MS), "failed"
+    def _draw_long_running_end(self):
+        if self._random.random() < LONG_RUNNING_FAIL_SHARE:
+            return self._random.uniform(0.0, LONG_RUNNING_MAX_FAIL_MS), "failed"
         return float("inf"), "failed"
 
     def _stop(self, body, answer, clock_ms):
@@ -265,12 +273,12 @@
         now_ms = steady_ms()
         for row in self._ended:
             if row[0] <= body["last_seen"]:
-                self._ledger.on_noted(row[1], row[3], now_ms)
+                self._checker.on_end_recorded(row[1], row[3], now_ms)
         self._ended = [row for row in self._ended if row[0] > body["last_seen"]]
         if body.get("deadline_ms"):
             self._take_lease(body["deadline_ms"])
         if self._ended or not body.get("wait_ms"):
-            answer(200, self._listing())
+            answer(200, self._report())
             return
         waiter = Waiter(
             answer=answer,
--- a/soak/src/thymefork_soak/standin/worker_run.py
+++ b/soak/src/thymefork_soak/standin/worker_run.py
@@ -5,7 +5,7 @@
 __all__ = ["Waiter", "WorkerRun"]
 
 # Tasks that last are at work after this time.
-LASTING_BEGIN_MS = 200.0
+LONG_RUNNING_STARTUP_MS = 200.0
 
 
 @define(kw_only=True)
@@ -21,12 +21,12 @@
     began_ms: float
     ends_ms: float
     how: str
-    lasting: bool = False
+    long_running: bool = False
 
     def percent(self, now_ms):
         """Return the progress, as a worker tells it."""
-        if self.lasting:
-            return 100 if now_ms > self.began_ms + LASTING_BEGIN_MS else 0
+        if self.long_running:
+            return 100 if now_ms > self.began_ms + LONG_RUNNING_STARTUP_MS else 0
         share = (now_ms - self.began_ms) / max(1.0, self.ends_ms - self.began_ms)
         return min(99, int(100 * share))
 
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -8,7 +8,7 @@
 
 from thymefork_soak.fleet import loopback_host
 from thymefork_soak.main import soak
-from thymefork_soak.standin.ledger import Ledger
+from thymefork_soak.standin.invariant_checker import InvariantChecker
 from thymefork_soak.standin.log import Group, Partition
 
 # Seeds that once showed a fault, with a line on its cause, stand here as well.
@@ -36,13 +36,13 @@
 def test_promises_are_kept_where_workers_leave_and_owners_are_rolled_in_outages(
     seed, tmp_path
 ):
-    broken, seen = asyncio.run(soak(seed, 12.0, 3, tmp_path, with_rolls=True))
+    broken, seen = asyncio.run(soak(seed, 12.0, 3, tmp_path, with_restarts=True))
     assert not broken, (broken, seen, tmp_path)
 
 
 def test_promises_are_kept_by_instances_and_workers_of_unlike_size(tmp_path):
     broken, seen = asyncio.run(
-        soak(9301, 15.0, 5, tmp_path, with_rolls=True, is_uneven=True)
+        soak(9301, 15.0, 5, tmp_path, with_restarts=True, is_heterogeneous=True)
     )
     assert not broken, (broken, seen, tmp_path)
 
@@ -61,16 +61,18 @@
     def used_cpu(self):
         return self._used
 
-    def counted_cpu(self, now_ms):
+    def effective_cpu(self, now_ms):
         return 10
 
 
-def ledger_of_one_job():
-    return Ledger(jobs={"j": {"spec": "s", "steps": [{"count": 1, "cpu": 1}]}})
+def checker_of_one_job():
+    return InvariantChecker(
+        jobs={"j": {"spec": "s", "steps": [{"count": 1, "cpu": 1}]}}
+    )
 
 
 def test_the_ledger_sees_two_runs_at_once():
-    ledger = ledger_of_one_job()
+    ledger = checker_of_one_job()
     ledger.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
     ledger.on_start(Worker(), "j.0.0.0", 2, "s", 0.0)
     assert ledger.broken and ledger.broken[0].startswith("TWICE")
@@ -85,31 +87,31 @@
 def test_the_ledger_sees_tasks_that_outlast_their_cancelled_job(
     acknowledged_ms, fault_ended_ms, due_ms
 ):
-    ledger = ledger_of_one_job()
+    ledger = checker_of_one_job()
     ledger.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
     ledger.on_fault(1, 4_000)
     ledger.on_fault(-1, fault_ended_ms)
-    ledger.judge_cancelled(60_000)
+    ledger.check_cancelled(60_000)
     ledger.on_cancelled("j", acknowledged_ms)
     ledger.on_cancelled("j", 50_000)
-    ledger.judge_cancelled(due_ms)
+    ledger.check_cancelled(due_ms)
     assert not ledger.broken
-    ledger.judge_cancelled(due_ms + 1)
-    ledger.judge_cancelled(due_ms + 101)
+    ledger.check_cancelled(due_ms + 1)
+    ledger.check_cancelled(due_ms + 101)
     assert [line.split(":")[0] for line in ledger.broken] == ["UNASKED"]
 
 
 def test_the_ledger_counts_no_time_under_a_fault_and_no_task_that_has_ended():
-    ledger = ledger_of_one_job()
+    ledger = checker_of_one_job()
     ledger.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
     ledger.on_cancelled("j", 0.0)
     ledger.on_fault(1, 1_000)
     ledger.on_fault(1, 1_500)
     ledger.on_fault(-1, 2_000)
-    ledger.judge_cancelled(60_000)
+    ledger.check_cancelled(60_000)
     ledger.on_fault(-1, 60_000)
     ledger.on_end(Worker(), "j.0.0.0", "stopped")
-    ledger.judge_cancelled(120_000)
+    ledger.check_cancelled(120_000)
     assert not ledger.broken
 
 
@@ -124,7 +126,7 @@
     ],
 )
 def test_the_ledger_sees_starts_of_a_cancelled_job(fault_ended_ms, started_ms, broken):
-    ledger = ledger_of_one_job()
+    ledger = checker_of_one_job()
     ledger.on_fault(1, 4_000)
     if fault_ended_ms is not None:
         ledger.on_fault(-1, fault_ended_ms)
@@ -164,7 +166,7 @@
 
 
 def test_the_ledger_sees_a_task_started_again_after_workers_have_crashed_under_it():
-    ledger = ledger_of_one_job()
+    ledger = checker_of_one_job()
     ledger.crashes_after_ms["j.0.0.0"] = 10.0
     for run_id in range(1, 6):
         ledger.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
@@ -176,7 +178,7 @@
 
 
 def test_the_ledger_blames_no_task_for_a_crash_that_is_not_its_own():
-    ledger = ledger_of_one_job()
+    ledger = checker_of_one_job()
     for run_id in range(1, 9):
         ledger.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
         ledger.on_end(Worker(), "j.0.0.0", "crashed")
@@ -186,13 +188,13 @@
 
 @pytest.mark.parametrize(("used", "broken"), [(10, []), (11, ["LIMIT"])])
 def test_the_ledger_sees_a_start_over_the_room_that_counts(used, broken):
-    ledger = ledger_of_one_job()
+    ledger = checker_of_one_job()
     ledger.on_start(Worker(used), "j.0.0.0", 1, "s", 0.0)
     assert [line.split(":")[0] for line in ledger.broken] == broken
 
 
-def ledger_of_an_account(*limits):
-    ledger = ledger_of_one_job()
+def checker_of_an_account(*limits):
+    ledger = checker_of_one_job()
     ledger.jobs["j"]["steps"] = [{"count": 9, "cpu": 100}]
     ledger.accounts["j"] = "a"
     for at_ms, cpu_milli in limits:
@@ -209,16 +211,16 @@
 # A limit of 200 may be passed by a tenth and one task: at 400 it is broken.
 @pytest.mark.parametrize(("count", "broken"), [(3, []), (4, ["QUOTA"])])
 def test_the_ledger_sees_an_account_over_its_limit(count, broken):
-    assert starts(ledger_of_an_account((0.0, 200)), count, 9_000.0) == broken
+    assert starts(checker_of_an_account((0.0, 200)), count, 9_000.0) == broken
 
 
 @pytest.mark.parametrize(
     ("started_ms", "broken"), [(13_000.0, []), (13_001.0, ["QUOTA"])]
 )
 def test_an_older_limit_counts_while_it_may_be_in_force(started_ms, broken):
-    ledger = ledger_of_an_account((0.0, 900), (10_000.0, 200))
+    ledger = checker_of_an_account((0.0, 900), (10_000.0, 200))
     assert starts(ledger, 4, started_ms) == broken
 
 
 def test_an_account_without_a_limit_breaks_none():
-    assert not starts(ledger_of_an_account((0.0, 0)), 9, 9_000.0)
+    assert not starts(checker_of_an_account((0.0, 0)), 9, 9_000.0)
