--- a/bench/share_orders.py
+++ b/bench/account_orders.py
@@ -6,20 +6,20 @@
 from itertools import chain
 
 __all__ = [
-    "all_by_use",
-    "by_use_in_a_priority",
+    "by_dominant_share",
+    "by_dominant_share_within_priority",
+    "by_job_rate_only",
     "fair_queueing",
-    "fair_queueing_beyond",
-    "jobs_alone",
+    "fair_queueing_beyond_share",
 ]
 
 
-def jobs_alone(order, steps, now_ms):
+def by_job_rate_only(order, steps, now_ms):
     """Keep the order by jobs a second, urgency and objective."""
     return steps
 
 
-def all_by_use(order, steps, now_ms):
+def by_dominant_share(order, steps, now_ms):
     """Order all steps by what their accounts use, whatever jobs a second they sent."""
     order._dominant_shares.record_waiting(
         {step.job.account_name for step in steps}, now_ms
@@ -71,7 +71,7 @@
     return sorted(steps, key=lambda step: queue.tag(order, step))
 
 
-def fair_queueing_beyond(order, steps, now_ms):
+def fair_queueing_beyond_share(order, steps, now_ms):
     """Order what is beyond the shares in jobs by start-time fair queueing."""
     queue = _queue(order)
     within = [step for step in steps if not step.job.is_beyond_share]
@@ -80,7 +80,7 @@
     return list(chain(within, ranked))
 
 
-def by_use_in_a_priority(order, steps, now_ms):
+def by_dominant_share_within_priority(order, steps, now_ms):
     """Order what is within the shares by use, too, but behind the queue's priority."""
     shares = order._dominant_shares
     shares.record_waiting(
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -39,7 +39,7 @@
         return stable_hash(str(self._count)) % count
 
 
-def _keep(node):
+def _use_own_policy(node):
     """Use the node's own policy."""
 
 
@@ -59,7 +59,7 @@
 
 
 POLICIES = {
-    "thymefork": _keep,
+    "thymefork": _use_own_policy,
     "first fit": _use_first_fit,
     "two choices": _use_two_choices,
 }
--- a/bench/cell_costs.py
+++ b/bench/cell_costs.py
@@ -29,13 +29,13 @@
 
     def __init__(self, **fields):
         super().__init__(**fields)
-        self.turns_ms = []
+        self.cycles_ms = []
         self.starts = 0
 
     def _decide(self, cell):
         began_s = time.process_time()
         super()._decide(cell)
-        self.turns_ms.append((time.process_time() - began_s) * 1000.0)
+        self.cycles_ms.append((time.process_time() - began_s) * 1000.0)
 
     def _perform(self, cell, effect):
         self.starts += isinstance(effect, StartRun)
@@ -67,12 +67,12 @@
     harness.run(500)
     numbers = count()
     _submit(harness, rate, numbers, accounts)
-    harness.turns_ms.clear()
+    harness.cycles_ms.clear()
     harness.starts = 0
     _submit(harness, rate, numbers, accounts)
-    turns = sorted(harness.turns_ms)
-    start_ms = sum(turns) / max(1, harness.starts)
-    return start_ms, turns[int(0.99 * len(turns))], harness.starts * 1000.0 / SPAN_MS
+    cycles = sorted(harness.cycles_ms)
+    start_ms = sum(cycles) / max(1, harness.starts)
+    return start_ms, cycles[int(0.99 * len(cycles))], harness.starts * 1000.0 / SPAN_MS
 
 
 def _with_accounts(configuration, count):
--- a/bench/experiments.py
+++ b/bench/experiments.py
@@ -30,9 +30,9 @@
     step_order,
 )
 
-from . import load_states, share_orders
-from .described_load import read_load
-from .load_play import LoadPlay
+from . import account_orders, overload_order
+from .load_file import read_load
+from .load_simulation import LoadSimulation
 
 __all__ = ["VARIANTS", "Outcome", "compare", "main", "play"]
 
@@ -55,7 +55,7 @@
     return sorted(steps(order, now_ms), key=rank)
 
 
-def _by_class_alone(fit, worker, *, is_remote=False):
+def _by_speed_class(fit, worker, *, is_remote=False):
     """Rate by speed alone: the first queue takes fast workers, others slow ones."""
     is_most_urgent = fit._fast_penalty == speed_scorer.FAST_PENALTY_MOST_URGENT
     points = speed_scorer.FAST_PENALTY * log(worker.slowness)
@@ -67,23 +67,29 @@
     "as it is": (),
     "no shares": ((job_rate_shares.JobRateShares, "admits", lambda *args: True),),
     "by jobs a second alone": (
-        (step_order.StepOrder, "_by_use", share_orders.jobs_alone),
+        (step_order.StepOrder, "_by_use", account_orders.by_job_rate_only),
+    ),
+    "all by use": (
+        (step_order.StepOrder, "_by_use", account_orders.by_dominant_share),
     ),
-    "all by use": ((step_order.StepOrder, "_by_use", share_orders.all_by_use),),
     "by use within a priority": (
-        (step_order.StepOrder, "_by_use", share_orders.by_use_in_a_priority),
+        (
+            step_order.StepOrder,
+            "_by_use",
+            account_orders.by_dominant_share_within_priority,
+        ),
     ),
     "all by fair queueing": (
-        (step_order.StepOrder, "_by_use", share_orders.fair_queueing),
+        (step_order.StepOrder, "_by_use", account_orders.fair_queueing),
     ),
     "beyond shares by fair queueing": (
-        (step_order.StepOrder, "_by_use", share_orders.fair_queueing_beyond),
+        (step_order.StepOrder, "_by_use", account_orders.fair_queueing_beyond_share),
     ),
     "in time first past full load": (
-        (step_order.StepOrder, "_by_use", load_states.order_past_full_load),
+        (step_order.StepOrder, "_by_use", overload_order.order_when_overloaded),
     ),
     "in time first, over priorities": (
-        (step_order.StepOrder, "_by_use", load_states.order_over_priorities),
+        (step_order.StepOrder, "_by_use", overload_order.order_ignoring_priorities),
     ),
     "shares of 0.5 s": ((job_rate_shares, "BURST_MS", 500.0),),
     "shares of 10 s": ((job_rate_shares, "BURST_MS", 10_000.0),),
@@ -96,7 +102,7 @@
     "speeds are not learned": (
         (worker_speeds.WorkerSpeeds, "learn", lambda *args, **fields: False),
     ),
-    "by class of speed alone": ((speed_scorer.SpeedScorer, "rate", _by_class_alone),),
+    "by class of speed alone": ((speed_scorer.SpeedScorer, "rate", _by_speed_class),),
     "fast room is not kept": ((speed_scorer, "FAST_PENALTY", 0.0),),
     "callers' estimates alone": (
         (image_durations.ImageDurations, "learn", lambda *args: None),
@@ -122,7 +128,7 @@
 
 
 @contextmanager
-def _as_in(variant):
+def _variant_applied(variant):
     kept = [(owner, name, getattr(owner, name)) for owner, name, _ in VARIANTS[variant]]
     for owner, name, value in VARIANTS[variant]:
         setattr(owner, name, value)
@@ -135,8 +141,8 @@
 
 def play(path, variant, seed):
     """Play a load once."""
-    with _as_in(variant):
-        result = LoadPlay(load=read_load(path), seed=seed).run()
+    with _variant_applied(variant):
+        result = LoadSimulation(load=read_load(path), seed=seed).run()
     return Outcome(**result)
 
 
--- a/bench/load_play.py
+++ b/bench/load_simulation.py
@@ -13,16 +13,16 @@
 from thymefork_cells.tests.harness import Harness, job_spec
 from thymefork_cells.tests.virtual_worker import VirtualWorker
 
-from .described_load import JobKind
+from .load_file import JobKind
 
-__all__ = ["LoadPlay"]
+__all__ = ["LoadSimulation"]
 
 # What a late answer is worth, up to three times the objective.
 LATE_WORTH = 0.2
-LATE_FACTOR = 3.0
+MAX_LATE_FACTOR = 3.0
 # After the last job has come, what still runs may end.
 SETTLE_MS = 20_000.0
-WIDEST = 60
+MAX_WIDTH = 60
 # What it takes to go on from a checkpoint.
 RESTORE_MS = 600.0
 # How much the work of one kind differs from image to image, and of an image from job to
@@ -54,14 +54,14 @@
 
 
 @frozen(kw_only=True, eq=False)
-class _Sent:
+class _SentJob:
     kind: JobKind
     account: str
     objective_ms: float
-    is_owed: bool
+    is_promised: bool
 
 
-class LoadPlay:
+class LoadSimulation:
     """Send the jobs of a load by a seed and add up what they are worth."""
 
     def __init__(self, *, load, seed):
@@ -69,7 +69,7 @@
         self._random = random.Random(seed)
         self._durations_ms = {}
         self._sent = {}
-        self._owed_at_ms = {}
+        self._promised_at_ms = {}
         self._harness = self._deploy()
 
     def _deploy(self):
@@ -136,17 +136,17 @@
         events = sorted(
             (at_ms, kind_number)
             for kind_number, kind in enumerate(self._load.kinds)
-            for at_ms in self._times(kind)
+            for at_ms in self._arrivals(kind)
         )
         harness, began_ms = self._harness, self._harness.now
         for number, (at_ms, kind_number) in enumerate(events):
             harness.run(max(0.0, began_ms + at_ms - harness.now))
-            self._cut(at_ms)
+            self._disconnect_workers(at_ms)
             self._send(f"{number:016x}", self._load.kinds[kind_number], at_ms / 1000.0)
         harness.run(SETTLE_MS)
         return self._result()
 
-    def _times(self, kind):
+    def _arrivals(self, kind):
         now_s = 0.0
         while True:
             rate = kind.jobs_per_s * sum(
@@ -159,7 +159,7 @@
                 return
             yield now_s * 1000.0
 
-    def _cut(self, at_ms):
+    def _disconnect_workers(self, at_ms):
         load = self._load
         if load.cut_share and at_ms >= load.cut_at_s * 1000.0:
             count = int(load.cut_share * load.workers)
@@ -176,7 +176,7 @@
         steps = []
         for number in range(kind.steps):
             mean_width = kind.width * account.width_factor
-            width = min(WIDEST, 1 + int(self._random.expovariate(1.0 / mean_width)))
+            width = min(MAX_WIDTH, 1 + int(self._random.expovariate(1.0 / mean_width)))
             error = self._random.lognormvariate(0.0, self._load.estimate_error)
             steps.append(
                 {
@@ -194,21 +194,21 @@
                 even = self._random.uniform(0.7, 1.3)
                 self._durations_ms[f"{job_id}.0.{number}.{index}"] = work_ms * even
         longest_ms = 1.3 * work_ms * kind.steps
-        self._sent[job_id] = _Sent(
+        self._sent[job_id] = _SentJob(
             kind=kind,
             account=account.name,
             objective_ms=kind.stretch * longest_ms + kind.target_ms,
-            is_owed=self._owes(account, now_s * 1000.0),
+            is_promised=self._is_within_promised_rate(account, now_s * 1000.0),
         )
         self._harness.submit(
             job_id, job_spec(*steps), kind.name, account_name=account.name
         )
 
-    def _owes(self, account, now_ms):
+    def _is_within_promised_rate(self, account, now_ms):
         """Tell whether a job is among those a second that its account is promised."""
         if not account.weight:
             return True
-        recent = self._owed_at_ms.setdefault(account.name, [])
+        recent = self._promised_at_ms.setdefault(account.name, [])
         recent[:] = [at_ms for at_ms in recent if now_ms - at_ms < 1_000.0]
         if len(recent) >= account.weight:
             return False
@@ -218,9 +218,9 @@
     def _result(self):
         earned, owed, in_time = {}, {}, []
         for job_id, sent in self._sent.items():
-            if not sent.is_owed:
+            if not sent.is_promised:
                 continue
-            value = self._earns(job_id, sent)
+            value = self._value_of(job_id, sent)
             in_time.append(value == 1.0)
             earned.setdefault(sent.account, []).append(value * sent.kind.worth)
             owed.setdefault(sent.account, []).append(sent.kind.worth)
@@ -232,11 +232,11 @@
             "calls": len(self._harness.asked),
         }
 
-    def _earns(self, job_id, sent):
+    def _value_of(self, job_id, sent):
         job = self._harness.cell.context.jobs.get(job_id)
         if job is None or str(job.state) != "succeeded":
             return 0.0
         took_ms = job.ended_ms - job.accepted_ms
         if took_ms <= sent.objective_ms:
             return 1.0
-        return LATE_WORTH if took_ms <= LATE_FACTOR * sent.objective_ms else 0.0
+        return LATE_WORTH if took_ms <= MAX_LATE_FACTOR * sent.objective_ms else 0.0
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -16,7 +16,7 @@
 PEAK_RATE = 150
 OVERLOAD = 3
 LOOKUP_RATE = 120
-MERGES_A_SECOND = 40
+MERGES_PER_SECOND = 40
 SPAN_S = 8
 
 
@@ -50,10 +50,10 @@
         for name in cluster.names:
             form = {"works": specs}
             threading.Thread(target=cluster.post, args=(name, "/work", form)).start()
-        time.sleep(10 / MERGES_A_SECOND)
+        time.sleep(10 / MERGES_PER_SECOND)
 
 
-def beside_merges(cluster):
+def measure_with_merges(cluster):
     """Print lookups' latency without and with merges on the same workers."""
     alone = load(cluster, LOOKUP_RATE, 5, seed=3).summary()
     until_s = time.monotonic() + SPAN_S
@@ -62,7 +62,7 @@
     beside = load(cluster, LOOKUP_RATE, 5, seed=3).summary()
     merges.join()
     print(f"lookups alone: {alone}")
-    print(f"beside {MERGES_A_SECOND} merges a second: {beside}")
+    print(f"beside {MERGES_PER_SECOND} merges a second: {beside}")
     print(f"p99 {beside['p99_ms'] / alone['p99_ms']:.2f} times (target 1.2)")
 
 
@@ -71,7 +71,7 @@
     file = orjson.loads((ROOT / "examples" / "libraries.json").read_bytes())
     file["halls"] = file["halls"][:1]
     file["workers"] = file["workers"][:8]
-    for part in (beside_merges, goodput):
+    for part in (measure_with_merges, goodput):
         with Cluster(file=file) as cluster:
             part(cluster)
 
--- a/bench/load_states.py
+++ b/bench/overload_order.py
@@ -2,26 +2,26 @@
 
 from thymefork_cells.placement.step_order import StepOrder
 
-__all__ = ["LoadState", "order_over_priorities", "order_past_full_load"]
+__all__ = ["OverloadDetector", "order_ignoring_priorities", "order_when_overloaded"]
 
 # On above the one, off below the other, so that it does not flap.
-ON_ABOVE = 1.0
-OFF_BELOW = 0.5
+START_RATIO = 1.0
+STOP_RATIO = 0.5
 # An answer is of some use until so many times the objective.
-USE_FACTOR = 3.0
-_BY_USE = StepOrder._by_use
+USEFUL_FACTOR = 3.0
+_ORDER_BY_SHARE = StepOrder._by_use
 
 
-class LoadState:
+class OverloadDetector:
     """Tell whether more waits than finds room within the shortest objective."""
 
     def __init__(self):
         self.is_on = False
 
-    def judge(self, waiting, coming):
+    def update(self, waiting, coming):
         """Take what waits and what room comes, in core-milliseconds."""
         ratio = waiting / coming if coming > 0 else float(waiting > 0) * 2.0
-        self.is_on = ratio > (OFF_BELOW if self.is_on else ON_ABOVE)
+        self.is_on = ratio > (STOP_RATIO if self.is_on else START_RATIO)
         return self.is_on
 
 
@@ -30,10 +30,10 @@
 
 
 def _state(order):
-    return _states.setdefault(id(order), (order, LoadState()))[1]
+    return _states.setdefault(id(order), (order, OverloadDetector()))[1]
 
 
-def _waiting_work(order, steps):
+def _requested_work(order, steps):
     return sum(
         len(step.waiting)
         * step.spec.reserved_cpu_milli
@@ -42,7 +42,7 @@
     )
 
 
-def _coming_room(order, span_ms, now_ms):
+def _available_work(order, span_ms, now_ms):
     """Return what is free, or comes free, in a span, in core-milliseconds."""
     room = 0.0
     for worker in order._context.workers.values():
@@ -53,39 +53,39 @@
     return room
 
 
-def _can_be_in_time(order, step, slowness, now_ms):
+def _can_meet_objective(order, step, slowness, now_ms):
     chance = order._durations.lateness_probability(step, now_ms)
     if chance is None:
         return True
     return chance._usual_ms * slowness <= chance._left_ms
 
 
-def order_past_full_load(order, steps, now_ms, over_priorities=False):
+def order_when_overloaded(order, steps, now_ms, ignore_priorities=False):
     """Put steps that can still be in time first, then those of use for the longest."""
     ready = [step for step in steps if step.ready and not step.spec.long_running]
     spans = [step.job.objective_ms - step.job.accepted_ms for step in ready]
-    is_on = _state(order).judge(
-        _waiting_work(order, ready),
-        _coming_room(order, min(spans, default=0.0), now_ms) if spans else 1.0,
+    is_on = _state(order).update(
+        _requested_work(order, ready),
+        _available_work(order, min(spans, default=0.0), now_ms) if spans else 1.0,
     )
     if not is_on:
-        return _BY_USE(order, steps, now_ms)
+        return _ORDER_BY_SHARE(order, steps, now_ms)
     workers = order._context.workers.values()
     slowness = min((worker.slowness for worker in workers), default=1.0)
 
     def rank(step):
         job = step.job
         beyond = job.is_beyond_share
-        priority = 0 if over_priorities else order._context.queue(job).priority
-        if _can_be_in_time(order, step, slowness, now_ms):
+        priority = 0 if ignore_priorities else order._context.queue(job).priority
+        if _can_meet_objective(order, step, slowness, now_ms):
             return (beyond, priority, 0, 0.0)
         span_ms = job.objective_ms - job.accepted_ms
-        use_until_ms = job.accepted_ms + USE_FACTOR * span_ms
+        use_until_ms = job.accepted_ms + USEFUL_FACTOR * span_ms
         return (beyond, priority, 1 + (use_until_ms < now_ms), use_until_ms)
 
-    return _BY_USE(order, sorted(steps, key=rank), now_ms)
+    return _ORDER_BY_SHARE(order, sorted(steps, key=rank), now_ms)
 
 
-def order_over_priorities(order, steps, now_ms):
+def order_ignoring_priorities(order, steps, now_ms):
     """Do so whatever the queues' priorities."""
-    return order_past_full_load(order, steps, now_ms, over_priorities=True)
+    return order_when_overloaded(order, steps, now_ms, ignore_priorities=True)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -31,8 +31,8 @@
     mean_waiting_ms: float
     p99_waiting_ms: float
     packing: float
-    messages_a_task: float
-    appends_a_task: float
+    messages_per_task: float
+    appends_per_task: float
 
 
 def run_policy(policy, workload, user, seed=1):
@@ -55,8 +55,8 @@
         mean_waiting_ms=round(statistics.mean(waits), 1),
         p99_waiting_ms=sorted(waits)[len(waits) * 99 // 100],
         packing=round(statistics.mean(packing), 4),
-        messages_a_task=round((world.messages - before[0]) / tasks, 3),
-        appends_a_task=round((world.log.appends - before[1]) / tasks, 3),
+        messages_per_task=round((world.messages - before[0]) / tasks, 3),
+        appends_per_task=round((world.log.appends - before[1]) / tasks, 3),
     )
 
 
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -15,10 +15,10 @@
 ROOT = Path(__file__).parent.parent
 LOOKUP_RATE = 600
 STARTS_RATE = 500
-TASKS_A_SUBMISSION = 10
+TASKS_PER_SUBMISSION = 10
 SPAN_S = 8
 IDLE_S = 15
-TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 @frozen(kw_only=True)
@@ -35,7 +35,7 @@
     """Read a daemon's use of processor, memory and control bytes."""
     pid = cluster.daemons[name].pid
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    cpu_s = (int(fields[11]) + int(fields[12])) / TICKS_A_SECOND
+    cpu_s = (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
     status = Path(f"/proc/{pid}/status").read_text().split("VmRSS:")[1].split()[0]
     traffic = cluster.get(name, "/traffic").document
     return Cost(
@@ -92,13 +92,13 @@
                 resources={"cpu_milli": 50, "memory_mb": 16, "accelerators": 0},
                 deadline_ms=time.time_ns() // 1_000_000 + 30_000,
             )
-            for _ in range(TASKS_A_SUBMISSION)
+            for _ in range(TASKS_PER_SUBMISSION)
         ]
         return "POST", "/work", orjson.dumps({"works": specs})
 
     caller = Caller(
         ports=[cluster.ports[name]],
-        rate_per_s=STARTS_RATE / TASKS_A_SUBMISSION,
+        rate_per_s=STARTS_RATE / TASKS_PER_SUBMISSION,
         span_s=SPAN_S,
         seed=2,
     )
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -194,7 +194,7 @@
         self.read(Stream.ACCEPTED, "h-1~1", accept)
 
 
-def _calls(function):
+def _count_calls(function):
     """Count the function calls of a call; this repeats exactly."""
     count = 0
 
@@ -222,14 +222,14 @@
         began_ns = time.perf_counter_ns()
         bench.task(index)
         task_us.append((time.perf_counter_ns() - began_ns) / 1000)
-    at_99 = rounds * 99 // 100
+    p99_index = rounds * 99 // 100
     return ScaleResult(
         workers=workers,
         running=bench.running,
-        lookup_us=sorted(lookup_us)[at_99],
-        task_us=sorted(task_us)[at_99],
-        lookup_calls=_calls(lambda: bench.lookup("calls")),
-        task_calls=_calls(lambda: bench.task("calls")),
+        lookup_us=sorted(lookup_us)[p99_index],
+        task_us=sorted(task_us)[p99_index],
+        lookup_calls=_count_calls(lambda: bench.lookup("calls")),
+        task_calls=_count_calls(lambda: bench.task("calls")),
     )
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -144,10 +144,10 @@
     entries = tuple(make(index) for index in range(count))
     batch = Batch(record_id="r", author="a~1", entries=entries, began_mono_ms=0)
 
-    def both():
+    def round_trip():
         RecordCodec.decode(0, "r", orjson.loads(RecordCodec.encode(batch)))
 
-    return timed_us(both)
+    return timed_us(round_trip)
 
 
 def entry_bytes(make, count):
@@ -161,11 +161,11 @@
     """Return the time to write and to read a checkpoint of open attempts."""
     state = open_ledger(count).state
 
-    def both():
+    def round_trip():
         body = orjson.loads(RecordCodec.encode_state(state))
         HallLedger(state=RecordCodec.decode_state(Stream.HALL_CHECKPOINT, body))
 
-    return timed_us(both)
+    return timed_us(round_trip)
 
 
 def accepted_checkpoint(count):
--- a/bench/tests/test_experiments.py
+++ b/bench/tests/test_experiments.py
@@ -5,9 +5,9 @@
 from typer.testing import CliRunner
 
 from bench import experiments
-from bench.described_load import read_load
-from bench.load_play import LoadPlay
-from bench.load_states import LoadState
+from bench.load_file import read_load
+from bench.load_simulation import LoadSimulation
+from bench.overload_order import OverloadDetector
 
 LOAD = {
     "workers": 4,
@@ -43,7 +43,9 @@
 
 
 def test_the_same_seed_gives_the_same_outcome(path):
-    first, second = (LoadPlay(load=read_load(path), seed=1).run() for _ in range(2))
+    first, second = (
+        LoadSimulation(load=read_load(path), seed=1).run() for _ in range(2)
+    )
     assert first == second
     assert 0 < first["worth"] <= 1
 
@@ -55,10 +57,14 @@
 
 
 def test_jobs_beyond_an_accounts_share_are_not_owed(path):
-    load_play = LoadPlay(load=read_load(path), seed=1)
-    load_play.run()
-    sent = [one for one in load_play._sent.values() if one.account == "a"]
-    assert sum(one.is_owed for one in sent) <= 2 * (LOAD["seconds"] + 1) < len(sent) + 7
+    simulation = LoadSimulation(load=read_load(path), seed=1)
+    simulation.run()
+    sent = [one for one in simulation._sent.values() if one.account == "a"]
+    assert (
+        sum(one.is_promised for one in sent)
+        <= 2 * (LOAD["seconds"] + 1)
+        < len(sent) + 7
+    )
 
 
 @pytest.mark.parametrize(
@@ -81,17 +87,17 @@
     accounts = [wide, LOAD["accounts"][1]]
     load = {**LOAD, "kinds": [*LOAD["kinds"], kind], "accounts": accounts}
     path.write_bytes(orjson.dumps(load))
-    load_play = LoadPlay(load=read_load(path), seed=1)
-    load_play.run()
-    sent = load_play._sent.values()
+    simulation = LoadSimulation(load=read_load(path), seed=1)
+    simulation.run()
+    sent = simulation._sent.values()
     assert {one.kind.name for one in sent if one.account == "a"} == {"merge"}
     assert {one.kind.name for one in sent if one.account == "b"} == {"lookup", "merge"}
 
 
 def test_the_state_of_load_does_not_flap():
-    state = LoadState()
+    state = OverloadDetector()
     ratios = (0.9, 1.1, 0.6, 0.4, 0.9)
-    judged = [state.judge(ratio, 1.0) for ratio in ratios]
+    judged = [state.update(ratio, 1.0) for ratio in ratios]
     assert judged == [False, True, True, False, False]
 
 
--- a/soak/src/thymefork_soak/accounts.py
+++ b/soak/src/thymefork_soak/accounts.py
@@ -93,7 +93,7 @@
 
     def __init__(self, *, fleet, random):
         super().__init__(fleet=fleet, random=random, account=GUEST)
-        self.broken = []
+        self.violations = []
 
     async def work(self, until, now):
         """Ask for jobs that nobody knows until a moment."""
@@ -101,10 +101,10 @@
             await asyncio.sleep(self._random.uniform(0.05, 0.5))
             accounts = self._fleet.accounts
             had_key, changed_ms = accounts.guest_has_key, accounts.guest_changed_ms
-            calm_since_ms = (await self._fleet.control("calm", {}))["calm_since_ms"]
+            stable_since_ms = (await self._fleet.control("calm", {}))["calm_since_ms"]
             due_ms = max(
                 changed_ms + CONFIG_TIMEOUT_MS,
-                calm_since_ms + RECONNECT_TIMEOUT_MS + CONFIG_TIMEOUT_MS,
+                stable_since_ms + RECONNECT_TIMEOUT_MS + CONFIG_TIMEOUT_MS,
             )
             is_due = steady_ms() > due_ms + MARGIN_MS
             status = await self.call("GET", f"{self._random.getrandbits(64):016x}")
@@ -114,9 +114,9 @@
 
     def _judge(self, status, had_key):
         if had_key and status == UNKNOWN_KEY:
-            self.broken.append("CONFIG: refused by a key that is there")
+            self.violations.append("CONFIG: refused by a key that is there")
         elif not had_key and status == NO_SUCH_JOB:
-            self.broken.append("CONFIG: served by a key that was taken away")
+            self.violations.append("CONFIG: served by a key that was taken away")
 
 
 class StrangerCaller(Caller):
@@ -124,7 +124,7 @@
 
     def __init__(self, *, fleet, random):
         super().__init__(fleet=fleet, random=random, account="nobody")
-        self.broken = []
+        self.violations = []
 
     async def work(self, until, now):
         """Hand jobs in until a moment; none may be taken."""
@@ -134,4 +134,4 @@
             self.submitted_jobs.append(submitted)
             status = await self.call("POST", submitted.job_id, self._job())
             if status == 200:
-                self.broken.append(f"ROUTE: {submitted.job_id} by a key of nobody")
+                self.violations.append(f"ROUTE: {submitted.job_id} by a key of nobody")
--- a/soak/src/thymefork_soak/main.py
+++ b/soak/src/thymefork_soak/main.py
@@ -117,10 +117,12 @@
         )
         (folder / "faults.txt").write_text("\n".join([*plan.done, ""]))
         callers += [*long_running, crashing]
-        broken = await _leave(long_running, kept)
+        violations = await _leave(long_running, kept)
         await asyncio.sleep(MARGIN_S)
-        broken += await _judge(fleet, callers, now)
-        broken += [line for asker in askers for line in getattr(asker, "broken", ())]
+        violations += await _judge(fleet, callers, now)
+        violations += [
+            line for asker in askers for line in getattr(asker, "violations", ())
+        ]
     finally:
         fleet.stop()
     submitted_jobs = [
@@ -128,7 +130,7 @@
     ]
     accepted = sum(submitted.accepted for submitted in submitted_jobs)
     return (
-        broken,
+        violations,
         f"{len(submitted_jobs)} jobs, {accepted} accepted, {len(plan.done)} faults",
     )
 
@@ -167,14 +169,14 @@
         pending = left
         await asyncio.sleep(0.3)
     verdict = await fleet.control("verdict", {})
-    broken = list(verdict["broken"])
+    violations = list(verdict["broken"])
     if verdict["faults"]:
         # Without this, a fault that failed midway would excuse all that came after it.
         raise RuntimeError("faults are under way still: nothing cancelled was judged")
     started = set(verdict["started_jobs"])
     for _, submitted in submitted_jobs:
         if submitted.always_refused and submitted.job_id in started:
-            broken.append(
+            violations.append(
                 f"REFUSED: {submitted.job_id} ran; answers {submitted.answers}"
             )
         wanted = ("succeeded", "cancelled") if submitted.cancelled else ("succeeded",)
@@ -183,10 +185,10 @@
         if submitted.crashing:
             wanted = ("failed",)
         if submitted.accepted and submitted.state not in wanted:
-            broken.append(
+            violations.append(
                 f"LOST: {submitted.job_id} is {submitted.state or 'not answered'}"
             )
-    return broken
+    return violations
 
 
 def run(
@@ -200,7 +202,7 @@
 ):
     """Run the daemons among faults and print one verdict line."""
     folder = Path(tempfile.mkdtemp(prefix="thymefork-soak-"))
-    broken, seen = asyncio.run(
+    violations, seen = asyncio.run(
         soak(
             seed,
             seconds,
@@ -210,11 +212,11 @@
             is_heterogeneous=uneven,
         )
     )
-    for line in broken[:20]:
+    for line in violations[:20]:
         typer.echo(line)
-    word = "broken" if broken else "kept"
+    word = "broken" if violations else "kept"
     typer.echo(f"seed {seed}: promises {word}; {seen}; logs in {folder}")
-    raise typer.Exit(1 if broken else 0)
+    raise typer.Exit(1 if violations else 0)
 
 
 def main():
--- a/soak/src/thymefork_soak/standin/invariant_checker.py
+++ b/soak/src/thymefork_soak/standin/invariant_checker.py
@@ -28,10 +28,10 @@
     jobs: dict = field(factory=dict)
     starts: int = 0
     started_jobs: set = field(factory=set)
-    broken: list = field(factory=list)
+    violations: list = field(factory=list)
     cancelled_ms: dict = field(factory=dict)
     faults: int = 0
-    calm_since_ms: float = 0.0
+    stable_since_ms: float = 0.0
     crashes_after_ms: dict = field(factory=dict)
     crashes: Counter = field(factory=Counter)
     starts_after_crashes: Counter = field(factory=Counter)
@@ -45,22 +45,24 @@
         self.started_jobs.add(job_id)
         where = f"{task} run {run_id} on {worker.worker_id}"
         if self.running.get(task):
-            self._note(f"TWICE: {where} beside {sorted(self.running[task])}")
+            self._report_violation(
+                f"TWICE: {where} beside {sorted(self.running[task])}"
+            )
         if task in self.done and self.done[task] is not None:
-            self._note(f"TWICE: {where} after a noted end")
+            self._report_violation(f"TWICE: {where} after a noted end")
         self._check_start_of_cancelled(job_id, where, now_ms)
         self._check_start_after_crashes(task, where)
         job = self.jobs.get(job_id)
         if job is None or payload != job["spec"]:
-            self._note(f"UNASKED: {where}")
+            self._report_violation(f"UNASKED: {where}")
             return
         for earlier in job["steps"][int(step)].get("after", ()):
             count = job["steps"][earlier]["count"]
             names = [f"{job_id}.0.{earlier}.{index}" for index in range(count)]
             if not all(name in self.done for name in names):
-                self._note(f"ORDER: {where}")
+                self._report_violation(f"ORDER: {where}")
         if worker.used_cpu() > worker.effective_cpu(now_ms):
-            self._note(f"LIMIT: {where}")
+            self._report_violation(f"LIMIT: {where}")
         self.running.setdefault(task, set()).add(worker.worker_id)
         self._check_account_limit(job_id, step, where, now_ms)
 
@@ -80,7 +82,9 @@
         )
         one_more = self.jobs[job_id]["steps"][int(step)]["cpu"]
         if used > max(limits) * (1 + QUOTA_TOLERANCE) + one_more:
-            self._note(f"QUOTA: {where}: {account} has {used} of {max(limits)}")
+            self._report_violation(
+                f"QUOTA: {where}: {account} has {used} of {max(limits)}"
+            )
 
     def _cpu_of(self, task):
         job_id, _, step, _ = task.split(".")
@@ -96,7 +100,7 @@
             self.limits, self.limits[1:], strict=False
         ):
             due_ms = (
-                max(next_ms, self.calm_since_ms + RECONNECT_TIMEOUT_MS)
+                max(next_ms, self.stable_since_ms + RECONNECT_TIMEOUT_MS)
                 + CONFIG_TIMEOUT_MS
             )
             if self.faults or now_ms <= due_ms:
@@ -122,7 +126,9 @@
             return
         self.starts_after_crashes[task] += 1
         if self.starts_after_crashes[task] == MAX_STARTS_AFTER_CRASHES:
-            self._note(f"BUDGET: {where} after {self.crashes[task]} crashes")
+            self._report_violation(
+                f"BUDGET: {where} after {self.crashes[task]} crashes"
+            )
 
     def on_end_recorded(self, task, how, now_ms):
         """Note that the system has taken note of an end."""
@@ -136,7 +142,7 @@
     def on_fault(self, change, now_ms):
         """Note that a fault begins (1) or ends (-1), wherever it is."""
         self.faults += change
-        self.calm_since_ms = now_ms
+        self.stable_since_ms = now_ms
 
     def check_cancelled(self, now_ms):
         """Judge what runs of jobs whose cancelling was acknowledged.
@@ -147,7 +153,7 @@
         """
         if self.faults:
             return
-        counted_from_ms = self.calm_since_ms + RECONNECT_TIMEOUT_MS
+        counted_from_ms = self.stable_since_ms + RECONNECT_TIMEOUT_MS
         for task, worker_ids in self.running.items():
             acknowledged_ms = self.cancelled_ms.get(task.split(".")[0])
             if acknowledged_ms is None or not worker_ids:
@@ -155,9 +161,9 @@
             since_ms = max(acknowledged_ms, counted_from_ms)
             if now_ms > since_ms + CANCEL_TIMEOUT_MS + STOP_TIMEOUT_MS:
                 text = f"UNASKED: {task} runs on at {sorted(worker_ids)}, cancelled"
-                if not any(line.startswith(text) for line in self.broken):
+                if not any(line.startswith(text) for line in self.violations):
                     ago_ms = now_ms - acknowledged_ms
-                    self._note(f"{text} {ago_ms:.0f} ms ago")
+                    self._report_violation(f"{text} {ago_ms:.0f} ms ago")
 
     def _check_start_of_cancelled(self, job_id, where, now_ms):
         # A start takes no stop. It counts if all machines are in touch, since it is not
@@ -167,11 +173,13 @@
             return
         due_ms = max(
             acknowledged_ms + CANCEL_TIMEOUT_MS,
-            self.calm_since_ms + RECONNECT_TIMEOUT_MS,
+            self.stable_since_ms + RECONNECT_TIMEOUT_MS,
         )
         if now_ms > due_ms:
             ago_ms = now_ms - acknowledged_ms
-            self._note(f"UNASKED: {where} started, cancelled {ago_ms:.0f} ms ago")
+            self._report_violation(
+                f"UNASKED: {where} started, cancelled {ago_ms:.0f} ms ago"
+            )
 
-    def _note(self, text):
-        self.broken.append(text)
+    def _report_violation(self, text):
+        self.violations.append(text)
--- a/soak/src/thymefork_soak/standin/log.py
+++ b/soak/src/thymefork_soak/standin/log.py
@@ -16,7 +16,7 @@
     newest: dict = field(factory=dict)
     epochs: dict = field(factory=dict)
     sequences: dict = field(factory=dict)
-    waiting: list = field(factory=list)
+    waiters: list = field(factory=list)
 
     def append(self, records, writer, epoch, sequence):
         """Return None, or why the append is refused."""
--- a/soak/src/thymefork_soak/standin/process.py
+++ b/soak/src/thymefork_soak/standin/process.py
@@ -73,16 +73,16 @@
                 continue
             if old and old != worker.worker_id:
                 self.store.put(WORKERS_TOPIC, old, None)
-            told = (
+            published = (
                 worker.worker_id,
                 worker.born_epoch_ms,
                 worker.cpu_milli,
                 worker.draining,
             )
-            if self._published.get(worker.name) != told or old != worker.worker_id:
+            if self._published.get(worker.name) != published or old != worker.worker_id:
                 self.store.put(WORKERS_TOPIC, worker.worker_id, worker.entry())
                 self._listed[worker.name] = worker.worker_id
-                self._published[worker.name] = told
+                self._published[worker.name] = published
 
     def _expire_entry(self, worker, entry):
         """Let the entry of a worker that is down go after its heartbeats' silence."""
@@ -141,7 +141,9 @@
         self._checker.on_fault(body["change"], steady_ms())
 
     def _calm(self, body):
-        since_ms = float("inf") if self._checker.faults else self._checker.calm_since_ms
+        since_ms = (
+            float("inf") if self._checker.faults else self._checker.stable_since_ms
+        )
         return {"calm_since_ms": min(since_ms, NEVER_MS)}
 
     def _cancelled(self, body):
@@ -172,7 +174,7 @@
     def _verdict(self, body):
         self._check_cancelled()
         return {
-            "broken": self._checker.broken,
+            "broken": self._checker.violations,
             "faults": self._checker.faults,
             "starts": self._checker.starts,
             "started_jobs": sorted(self._checker.started_jobs),
--- a/soak/src/thymefork_soak/standin/store.py
+++ b/soak/src/thymefork_soak/standin/store.py
@@ -106,19 +106,19 @@
             answer(200, raw=_encode(partition, offset))
             return
         waiter = (offset, answer)
-        partition.waiting.append(waiter)
+        partition.waiters.append(waiter)
         self._loop.timers.after(
             int(query["wait_ms"]), lambda: self._answer_on_timeout(partition, waiter)
         )
 
     def _answer_on_timeout(self, partition, waiter):
-        if waiter in partition.waiting:
-            partition.waiting.remove(waiter)
+        if waiter in partition.waiters:
+            partition.waiters.remove(waiter)
             waiter[1](200, raw=_encode(partition, waiter[0]))
 
     def _answer_waiters(self, partition):
-        waiting, partition.waiting = partition.waiting, []
-        for offset, answer in waiting:
+        waiters, partition.waiters = partition.waiters, []
+        for offset, answer in waiters:
             answer(200, raw=_encode(partition, offset))
 
     def _group(self, name):
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -21,13 +21,15 @@
 
 @pytest.mark.parametrize(("seed", "seconds"), SEEDS)
 def test_the_promises_are_kept_among_faults(seed, seconds, tmp_path):
-    broken, seen = asyncio.run(soak(seed, seconds, 3, tmp_path, with_accounts=False))
-    assert not broken, (broken, seen, tmp_path)
+    violations, seen = asyncio.run(
+        soak(seed, seconds, 3, tmp_path, with_accounts=False)
+    )
+    assert not violations, (violations, seen, tmp_path)
 
 
 def test_accounts_keep_their_limits_and_keys_among_faults(tmp_path):
-    broken, seen = asyncio.run(soak(5001, 12.0, 3, tmp_path))
-    assert not broken, (broken, seen, tmp_path)
+    violations, seen = asyncio.run(soak(5001, 12.0, 3, tmp_path))
+    assert not violations, (violations, seen, tmp_path)
 
 
 # 8002: a worker away for long answered before it was listed again, and its crash was
@@ -36,15 +38,15 @@
 def test_promises_are_kept_where_workers_leave_and_owners_are_rolled_in_outages(
     seed, tmp_path
 ):
-    broken, seen = asyncio.run(soak(seed, 12.0, 3, tmp_path, with_restarts=True))
-    assert not broken, (broken, seen, tmp_path)
+    violations, seen = asyncio.run(soak(seed, 12.0, 3, tmp_path, with_restarts=True))
+    assert not violations, (violations, seen, tmp_path)
 
 
 def test_promises_are_kept_by_instances_and_workers_of_unlike_size(tmp_path):
-    broken, seen = asyncio.run(
+    violations, seen = asyncio.run(
         soak(9301, 15.0, 5, tmp_path, with_restarts=True, is_heterogeneous=True)
     )
-    assert not broken, (broken, seen, tmp_path)
+    assert not violations, (violations, seen, tmp_path)
 
 
 def test_soaks_with_like_seeds_have_addresses_of_their_own():
@@ -75,7 +77,7 @@
     ledger = checker_of_one_job()
     ledger.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
     ledger.on_start(Worker(), "j.0.0.0", 2, "s", 0.0)
-    assert ledger.broken and ledger.broken[0].startswith("TWICE")
+    assert ledger.violations and ledger.violations[0].startswith("TWICE")
 
 
 # From an incident: tasks ran for a minute after their job's cancel was acknowledged.
@@ -95,10 +97,10 @@
     ledger.on_cancelled("j", acknowledged_ms)
     ledger.on_cancelled("j", 50_000)
     ledger.check_cancelled(due_ms)
-    assert not ledger.broken
+    assert not ledger.violations
     ledger.check_cancelled(due_ms + 1)
     ledger.check_cancelled(due_ms + 101)
-    assert [line.split(":")[0] for line in ledger.broken] == ["UNASKED"]
+    assert [line.split(":")[0] for line in ledger.violations] == ["UNASKED"]
 
 
 def test_the_ledger_counts_no_time_under_a_fault_and_no_task_that_has_ended():
@@ -112,11 +114,11 @@
     ledger.on_fault(-1, 60_000)
     ledger.on_end(Worker(), "j.0.0.0", "stopped")
     ledger.check_cancelled(120_000)
-    assert not ledger.broken
+    assert not ledger.violations
 
 
 @pytest.mark.parametrize(
-    ("fault_ended_ms", "started_ms", "broken"),
+    ("fault_ended_ms", "started_ms", "violations"),
     [
         (5_000, 13_000, False),
         (5_000, 13_001, True),
@@ -125,14 +127,18 @@
         (None, 30_000, False),
     ],
 )
-def test_the_ledger_sees_starts_of_a_cancelled_job(fault_ended_ms, started_ms, broken):
+def test_the_ledger_sees_starts_of_a_cancelled_job(
+    fault_ended_ms, started_ms, violations
+):
     ledger = checker_of_one_job()
     ledger.on_fault(1, 4_000)
     if fault_ended_ms is not None:
         ledger.on_fault(-1, fault_ended_ms)
     ledger.on_cancelled("j", 10_000)
     ledger.on_start(Worker(), "j.0.0.0", 1, "s", started_ms)
-    assert [line.split(":")[0] for line in ledger.broken] == ["UNASKED"] * broken
+    assert [line.split(":")[0] for line in ledger.violations] == [
+        "UNASKED"
+    ] * violations
 
 
 def test_the_store_fences_and_repeats():
@@ -172,9 +178,9 @@
         ledger.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
         ledger.on_end(Worker(), "j.0.0.0", "crashed")
         ledger.on_crash({"j.0.0.0"})
-    assert not ledger.broken
+    assert not ledger.violations
     ledger.on_start(Worker(), "j.0.0.0", 6, "s", 0.0)
-    assert [line.split(":")[0] for line in ledger.broken] == ["BUDGET"]
+    assert [line.split(":")[0] for line in ledger.violations] == ["BUDGET"]
 
 
 def test_the_ledger_blames_no_task_for_a_crash_that_is_not_its_own():
@@ -183,14 +189,14 @@
         ledger.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
         ledger.on_end(Worker(), "j.0.0.0", "crashed")
         ledger.on_crash({"j.0.0.0"})
-    assert not ledger.broken
+    assert not ledger.violations
 
 
-@pytest.mark.parametrize(("used", "broken"), [(10, []), (11, ["LIMIT"])])
-def test_the_ledger_sees_a_start_over_the_room_that_counts(used, broken):
+@pytest.mark.parametrize(("used", "violations"), [(10, []), (11, ["LIMIT"])])
+def test_the_ledger_sees_a_start_over_the_room_that_counts(used, violations):
     ledger = checker_of_one_job()
     ledger.on_start(Worker(used), "j.0.0.0", 1, "s", 0.0)
-    assert [line.split(":")[0] for line in ledger.broken] == broken
+    assert [line.split(":")[0] for line in ledger.violations] == violations
 
 
 def checker_of_an_account(*limits):
@@ -205,21 +211,21 @@
 def starts(ledger, count, now_ms):
     for index in range(count):
         ledger.on_start(Worker(), f"j.0.0.{index}", 1, "s", now_ms)
-    return [line.split(":")[0] for line in ledger.broken]
+    return [line.split(":")[0] for line in ledger.violations]
 
 
 # A limit of 200 may be passed by a tenth and one task: at 400 it is broken.
-@pytest.mark.parametrize(("count", "broken"), [(3, []), (4, ["QUOTA"])])
-def test_the_ledger_sees_an_account_over_its_limit(count, broken):
-    assert starts(checker_of_an_account((0.0, 200)), count, 9_000.0) == broken
+@pytest.mark.parametrize(("count", "violations"), [(3, []), (4, ["QUOTA"])])
+def test_the_ledger_sees_an_account_over_its_limit(count, violations):
+    assert starts(checker_of_an_account((0.0, 200)), count, 9_000.0) == violations
 
 
 @pytest.mark.parametrize(
-    ("started_ms", "broken"), [(13_000.0, []), (13_001.0, ["QUOTA"])]
+    ("started_ms", "violations"), [(13_000.0, []), (13_001.0, ["QUOTA"])]
 )
-def test_an_older_limit_counts_while_it_may_be_in_force(started_ms, broken):
+def test_an_older_limit_counts_while_it_may_be_in_force(started_ms, violations):
     ledger = checker_of_an_account((0.0, 900), (10_000.0, 200))
-    assert starts(ledger, 4, started_ms) == broken
+    assert starts(ledger, 4, started_ms) == violations
 
 
 def test_an_account_without_a_limit_breaks_none():
