--- a/soak/src/thymefork_soak/accounts.py
+++ b/soak/src/thymefork_soak/accounts.py
@@ -110,9 +110,9 @@
             status = await self.call("GET", f"{self._random.getrandbits(64):016x}")
             changed = accounts.guest_changed_ms != changed_ms
             if is_due and not changed:
-                self._judge(status, had_key)
+                self._check_answer(status, had_key)
 
-    def _judge(self, status, had_key):
+    def _check_answer(self, status, had_key):
         if had_key and status == UNKNOWN_KEY:
             self.violations.append("CONFIG: refused by a key that is there")
         elif not had_key and status == NO_SUCH_JOB:
--- a/soak/src/thymefork_soak/main.py
+++ b/soak/src/thymefork_soak/main.py
@@ -100,10 +100,10 @@
         rooms = CapacityChanges(
             fleet=fleet, random=random.Random(f"{seed} rooms"), workers=WORKERS
         )
-        spoiler = EntryCorrupter(
+        corrupter = EntryCorrupter(
             fleet=fleet, random=random.Random(f"{seed} spoiled"), workers=WORKERS
         )
-        askers = _askers(fleet, seed) if with_accounts else []
+        account_callers = _account_callers(fleet, seed) if with_accounts else []
         kept = [asyncio.ensure_future(caller.work()) for caller in long_running]
         until = SETTLE_S + seconds
         await asyncio.gather(
@@ -111,17 +111,19 @@
             plan.work_outages(until, now, random.Random(f"{seed} outages")),
             crashing.work(until, now),
             rooms.work(until, now),
-            spoiler.work(until, now),
+            corrupter.work(until, now),
             *(caller.work(until, now) for caller in callers),
-            *(asker.work(until, now) for asker in askers),
+            *(asker.work(until, now) for asker in account_callers),
         )
         (folder / "faults.txt").write_text("\n".join([*plan.done, ""]))
         callers += [*long_running, crashing]
-        violations = await _leave(long_running, kept)
+        violations = await _stop_long_running(long_running, kept)
         await asyncio.sleep(MARGIN_S)
-        violations += await _judge(fleet, callers, now)
+        violations += await _check_jobs(fleet, callers, now)
         violations += [
-            line for asker in askers for line in getattr(asker, "violations", ())
+            line
+            for asker in account_callers
+            for line in getattr(asker, "violations", ())
         ]
     finally:
         fleet.stop()
@@ -135,7 +137,7 @@
     )
 
 
-def _askers(fleet, seed):
+def _account_callers(fleet, seed):
     """Return what changes the accounts, and who asks by keys that may not serve."""
     parts = (AccountChanges, GuestCaller, StrangerCaller)
     return [
@@ -144,7 +146,7 @@
     ]
 
 
-async def _leave(long_running, kept):
+async def _stop_long_running(long_running, kept):
     """End the lasting jobs; return whether some could not be ended."""
     for caller in long_running:
         caller.leave()
@@ -154,7 +156,7 @@
     return [f"ACKS: {len(stuck)} lasting jobs are not ended"] if stuck else []
 
 
-async def _judge(fleet, callers, now):
+async def _check_jobs(fleet, callers, now):
     submitted_jobs = [
         (caller, submitted) for caller in callers for submitted in caller.submitted_jobs
     ]
--- a/soak/src/thymefork_soak/standin/invariant_checker.py
+++ b/soak/src/thymefork_soak/standin/invariant_checker.py
@@ -107,10 +107,10 @@
                 may_be.append(limits)
         return [*may_be, *(limits for _, limits in self.limits[-1:])]
 
-    def on_end(self, worker, task, how):
+    def on_end(self, worker, task, outcome):
         """Note that a run is over."""
         self.running.get(task, set()).discard(worker.worker_id)
-        if how == "done":
+        if outcome == "done":
             self.done.setdefault(task, None)
 
     def on_crash(self, tasks):
@@ -130,9 +130,9 @@
                 f"BUDGET: {where} after {self.crashes[task]} crashes"
             )
 
-    def on_end_recorded(self, task, how, now_ms):
+    def on_end_recorded(self, task, outcome, now_ms):
         """Note that the system has taken note of an end."""
-        if how == "done":
+        if outcome == "done":
             self.done[task] = now_ms
 
     def on_cancelled(self, job_id, acknowledged_ms):
--- a/soak/src/thymefork_soak/standin/worker.py
+++ b/soak/src/thymefork_soak/standin/worker.py
@@ -157,20 +157,20 @@
             if now_ms > self._lease_until_ms:
                 self._end(key, "lapsed")
             elif now_ms > run.ends_ms:
-                self._end(key, run.how)
+                self._end(key, run.outcome)
         for waiter in list(self._waiters):
             fresh = any(row[0] > waiter.last_seen for row in self._ended)
             if fresh or now_ms > waiter.until_ms:
                 self._waiters.remove(waiter)
                 waiter.answer(200, self._report())
 
-    def _end(self, key, how):
+    def _end(self, key, outcome):
         task, run_id = key
         del self._running[key]
         self._closed[task] = max(run_id, self._closed.get(task, 0))
-        self._ended.append([self._next_end, task, run_id, how, ""])
+        self._ended.append([self._next_end, task, run_id, outcome, ""])
         self._next_end += 1
-        self._checker.on_end(self, task, how)
+        self._checker.on_end(self, task, outcome)
 
     def _report(self):
         now_ms = steady_ms()
@@ -230,7 +230,7 @@
         )
         now_ms = steady_ms()
         long_running = step.get("long_running", False)
-        works_ms, how = (
+        works_ms, outcome = (
             self._draw_long_running_end() if long_running else self._draw_end(step)
         )
         self._running[key] = WorkerRun(
@@ -239,7 +239,7 @@
             cpu_milli=step["cpu"],
             began_ms=now_ms,
             ends_ms=now_ms + works_ms,
-            how=how,
+            outcome=outcome,
             long_running=long_running,
         )
         self._checker.on_start(self, task, run_id, body["spec"], now_ms)
--- a/soak/src/thymefork_soak/standin/worker_run.py
+++ b/soak/src/thymefork_soak/standin/worker_run.py
@@ -20,7 +20,7 @@
     cpu_milli: int
     began_ms: float
     ends_ms: float
-    how: str
+    outcome: str
     long_running: bool = False
 
     def percent(self, now_ms):
