--- a/soak/src/thymefork_soak/__init__.py
+++ b/soak/src/thymefork_soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: real daemons, stand-ins for the platform, faults from outside, checks."""
+"""Soak test: real daemons against a simulated platform, with injected faults."""
--- a/soak/src/thymefork_soak/accounts.py
+++ b/soak/src/thymefork_soak/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts whose limits change and whose keys come and go."""
+"""Client accounts with changing limits, and callers with revoked or unknown keys."""
 
 import asyncio
 
@@ -17,13 +17,13 @@
 
 NAMES = ("a0", "a1", "a2")
 GUEST = "guest"
-# Its callers keep work that lasts; nothing limits it.
+# Account without a limit, for long-running jobs.
 UNLIMITED = "steady"
-# From less than one job wants at once up to what an account's callers nearly fill.
+# From less than one job requests to more than an account's callers usually use.
 LIMITS_CPU_MILLI = (2_000, 4_000, 8_000)
 MAX_CPU_MILLI = 8_000
-# The pages' bounds: a version is in force everywhere so long after it was acknowledged,
-# and a machine is in touch after so long without a disturbance; and a bit.
+# Guaranteed times: for a configuration to apply everywhere after its acknowledgement,
+# and for every machine to reconnect after the last fault.
 CONFIG_TIMEOUT_MS = 3_000.0
 RECONNECT_TIMEOUT_MS = 3_000.0
 MARGIN_MS = 300.0
@@ -32,12 +32,12 @@
 
 
 def key_of(account):
-    """Return the key that an account's callers send."""
+    """Return the API key of an account."""
     return f"key-of-{account}"
 
 
 class Accounts:
-    """Hold what the operators' configuration says of the accounts."""
+    """Hold the account settings of the current configuration."""
 
     def __init__(self):
         self.limits_cpu_milli = dict.fromkeys(NAMES, MAX_CPU_MILLI)
@@ -45,7 +45,7 @@
         self.guest_changed_ms = 0.0
 
     def rows(self):
-        """Return the accounts as the configuration lists them."""
+        """Return the accounts in the format of the configuration."""
         rows = [
             _row(name, cpu, [key_of(name)])
             for name, cpu in self.limits_cpu_milli.items()
@@ -60,14 +60,14 @@
 
 
 class AccountChanges:
-    """Change limits, and take the guest's key away and give it back."""
+    """Change account limits, and revoke and restore the guest's key."""
 
     def __init__(self, *, fleet, random):
         self._fleet = fleet
         self._random = random
 
     async def work(self, until, now):
-        """Make one change after another, then give everything back."""
+        """Make changes until the given time, then restore all settings."""
         accounts = self._fleet.accounts
         while now() < until:
             await asyncio.sleep(self._random.choice((0.3, 1.0, 4.0, 8.0)))
@@ -83,20 +83,20 @@
     async def _set_guest(self, has_key):
         accounts = self._fleet.accounts
         accounts.guest_has_key = has_key
-        accounts.guest_changed_ms = float("inf")  # until the store has taken it
+        accounts.guest_changed_ms = float("inf")  # until the store has accepted it
         await self._fleet.configure()
         accounts.guest_changed_ms = steady_ms()
 
 
 class GuestCaller(Caller):
-    """Ask with a key that comes and goes; note answers by the wrong version."""
+    """Call with a key that is revoked at times; record answers from a stale version."""
 
     def __init__(self, *, fleet, random):
         super().__init__(fleet=fleet, random=random, account=GUEST)
         self.violations = []
 
     async def work(self, until, now):
-        """Ask for jobs that nobody knows until a moment."""
+        """Request unknown jobs until the given time."""
         while now() < until:
             await asyncio.sleep(self._random.uniform(0.05, 0.5))
             accounts = self._fleet.accounts
@@ -114,24 +114,26 @@
 
     def _check_answer(self, status, had_key):
         if had_key and status == UNKNOWN_KEY:
-            self.violations.append("CONFIG: refused by a key that is there")
+            self.violations.append("CONFIG: refused a key that is configured")
         elif not had_key and status == NO_SUCH_JOB:
-            self.violations.append("CONFIG: served by a key that was taken away")
+            self.violations.append("CONFIG: accepted a key that was revoked")
 
 
 class StrangerCaller(Caller):
-    """Hand jobs in by a key that no configuration ever held."""
+    """Submit jobs with a key that was never configured."""
 
     def __init__(self, *, fleet, random):
         super().__init__(fleet=fleet, random=random, account="nobody")
         self.violations = []
 
     async def work(self, until, now):
-        """Hand jobs in until a moment; none may be taken."""
+        """Submit jobs until the given time; none may be accepted."""
         while now() < until:
             await asyncio.sleep(self._random.uniform(0.3, 1.5))
             submitted = SubmittedJob(job_id=f"{self._random.getrandbits(64):016x}")
             self.submitted_jobs.append(submitted)
             status = await self.call("POST", submitted.job_id, self._job())
             if status == 200:
-                self.violations.append(f"ROUTE: {submitted.job_id} by a key of nobody")
+                self.violations.append(
+                    f"ROUTE: {submitted.job_id} accepted with an unknown key"
+                )
--- a/soak/src/thymefork_soak/callers.py
+++ b/soak/src/thymefork_soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they keep connections open, retry with the same id, and remember."""
+"""Callers that submit jobs over keep-alive connections and retry with the same id."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 
 @define(kw_only=True)
 class SubmittedJob:
-    """Hold what a caller knows of its job."""
+    """Hold what a caller knows about a job that it submitted."""
 
     job_id: str
     accepted: bool = False
@@ -32,7 +32,7 @@
 
 
 class Caller:
-    """Submit jobs to daemons of its choice, one after the other."""
+    """Submit jobs to randomly chosen daemons, one after the other."""
 
     def __init__(self, *, fleet, random, account=""):
         self.submitted_jobs = []
@@ -42,7 +42,7 @@
         self._connection = None
 
     async def work(self, until, now):
-        """Submit jobs until a moment."""
+        """Submit jobs until the given time."""
         while now() < until:
             await self._submit_job()
             await asyncio.sleep(self._random.uniform(0.05, 0.4))
@@ -63,16 +63,15 @@
                 break
             await asyncio.sleep(RETRY_DELAY_S)
         if submitted.accepted and self._random.random() < 0.1:
-            # Without an answer it may have been done as well.
             await self.cancel(submitted)
 
     async def _announce_job(self, submitted, job, **more):
-        """Tell the stand-in what is about to be submitted, and for whom."""
+        """Tell the simulated platform which job is about to be submitted."""
         notice = {"id": submitted.job_id, "job": job, "account": self._account, **more}
         await self._fleet.control("job", notice)
 
     def _job(self):
-        # Some tasks outlast a lease, so that what runs on silent workers matters.
+        # Some tasks outlast a lease, so that leases of unreachable workers expire.
         estimated_ms = 5_000 if self._random.random() < LONG_TASK_SHARE else 500
         first = {"count": self._random.randint(1, 6), "cpu": 500, "mem_mb": 64}
         steps = [{**first, "estimated_ms": estimated_ms}]
@@ -81,10 +80,10 @@
         return {"spec": f"text {self._random.random()}", "steps": steps}
 
     async def cancel(self, submitted):
-        """Cancel a job once; tell the stand-in of an acknowledgement."""
+        """Cancel a job once; report an acknowledgement to the simulated platform."""
         submitted.cancelled = True
         status = await self.call("DELETE", submitted.job_id)
-        # The clock is the stand-in's: both read this machine's steady clock.
+        # Comparable with the platform's times: both read this machine's steady clock.
         acknowledged_ms = steady_ms()
         if status not in (200, 410):
             return False
@@ -93,17 +92,17 @@
         return True
 
     async def read_state(self, submitted):
-        """Ask for a job's state."""
+        """Request a job's state."""
         return await self.call("GET", submitted.job_id, want_state=True)
 
     async def call(self, method, job_id, document=None, *, want_state=False):
-        """Return the answer's status, 0 for none; or the state that it tells."""
+        """Return the HTTP status, 0 if unanswered; or the job state if requested."""
         try:
             return await asyncio.wait_for(
                 self._call(method, job_id, document, want_state), CALL_TIMEOUT_S
             )
         except (OSError, EOFError, TimeoutError):
-            self._close_connection()  # the daemon is gone or silent: the next call goes elsewhere
+            self._close_connection()  # the next call picks a daemon again
             return "" if want_state else 0
 
     def _close_connection(self):
--- a/soak/src/thymefork_soak/capacity_changes.py
+++ b/soak/src/thymefork_soak/capacity_changes.py
@@ -1,16 +1,16 @@
-"""Workers whose room shrinks and grows again while they run tasks."""
+"""Workers whose capacity shrinks and grows while they run tasks."""
 
 import asyncio
 
 __all__ = ["CapacityChanges"]
 
-# From nothing up to all of a worker, whose tasks take 0.5 or 0.8 of a core.
+# Tasks take 0.5 or 0.8 of a core.
 CAPACITIES_CPU_MILLI = (0, 1_000, 2_000, 4_000, 8_000)
 FULL_CPU_MILLI = 8_000
 
 
 class CapacityChanges:
-    """Change workers' rooms until a moment, then give all of it back."""
+    """Change the capacity of random workers, then restore it."""
 
     def __init__(self, *, fleet, random, workers):
         self._fleet = fleet
@@ -18,7 +18,7 @@
         self._workers = workers
 
     async def work(self, until, now):
-        """Change one room after another; some at each heartbeat."""
+        """Change capacities until the given time."""
         while now() < until:
             await asyncio.sleep(self._random.choice((0.5, 1.0, 3.0)))
             worker = self._random.randrange(self._workers)
--- a/soak/src/thymefork_soak/crashing_caller.py
+++ b/soak/src/thymefork_soak/crashing_caller.py
@@ -1,4 +1,4 @@
-"""A caller of jobs with a task that crashes each worker that starts it."""
+"""Caller whose jobs contain a task that crashes every worker that starts it."""
 
 import asyncio
 
@@ -6,18 +6,17 @@
 
 __all__ = ["CrashingCaller"]
 
-# One job in so many seconds: each takes three of the workers away for a while, and the
-# other callers' jobs stand beside it.
+# Each job takes several workers down, so leave time for the other callers' jobs.
 PAUSE_S = (5.0, 9.0)
-# At once, as soon as it has begun, or halfway through a short task.
+# At once, soon after the start, or halfway through a short task.
 CRASH_AFTER_MS = (0.0, 10.0, 300.0)
 
 
 class CrashingCaller(Caller):
-    """Submit jobs of sound tasks beside one that crashes its workers."""
+    """Submit jobs in which one task crashes its workers."""
 
     async def work(self, until, now):
-        """Submit jobs until a moment."""
+        """Submit jobs until the given time."""
         while now() < until:
             await self._submit()
             await asyncio.sleep(self._random.uniform(*PAUSE_S))
--- a/soak/src/thymefork_soak/entry_corruption.py
+++ b/soak/src/thymefork_soak/entry_corruption.py
@@ -1,10 +1,10 @@
-"""Another writer among the workers' entries in the store."""
+"""Invalid values among the workers' entries in the store."""
 
 import asyncio
 
 __all__ = ["EntryCorrupter"]
 
-# What it writes, over a worker's entry or under a key of its own.
+# Written over a worker's entry or under a separate key.
 VALUES = (
     "\x00\x01",
     "[]",
@@ -17,7 +17,7 @@
 
 
 class EntryCorrupter:
-    """Write what names no worker, until a moment."""
+    """Write invalid worker entries into the store."""
 
     def __init__(self, *, fleet, random, workers):
         self._fleet = fleet
@@ -25,7 +25,7 @@
         self._workers = workers
 
     async def work(self, until, now):
-        """Spoil one entry after another; a worker writes its own anew."""
+        """Corrupt entries until the given time; workers rewrite theirs."""
         while now() < until:
             await asyncio.sleep(self._random.uniform(0.5, 4.0))
             notice = {"value": self._random.choice(VALUES)}
--- a/soak/src/thymefork_soak/long_running_caller.py
+++ b/soak/src/thymefork_soak/long_running_caller.py
@@ -1,4 +1,4 @@
-"""A caller whose jobs last until it cancels them."""
+"""Caller whose jobs run until it cancels them."""
 
 import asyncio
 import contextlib
@@ -11,18 +11,18 @@
 
 
 class LongRunningCaller(Caller):
-    """Keep one lasting job at a time; cancel it until that is acknowledged."""
+    """Run one long-running job at a time; retry its cancel until acknowledged."""
 
     def __init__(self, *, fleet, random, account=""):
         super().__init__(fleet=fleet, random=random, account=account)
         self._leaving = asyncio.Event()
 
     def leave(self):
-        """Have the job that is kept cancelled now, and submit no other."""
+        """Cancel the current job now and submit no other."""
         self._leaving.set()
 
     async def work(self):
-        """Submit, keep and cancel jobs until told to leave."""
+        """Submit and cancel jobs until `leave` is called."""
         while not self._leaving.is_set():
             job_id = f"{self._random.getrandbits(64):016x}"
             submitted = SubmittedJob(job_id=job_id, long_running=True)
@@ -40,8 +40,8 @@
         step = {"count": count, "cpu": 500, "mem_mb": 64, "long_running": True}
         job = {"spec": f"text {self._random.random()}", "steps": [step]}
         await self._announce_job(submitted, job)
-        # A job in doubt may run, so it is submitted until it is known to be accepted;
-        # one that was refused each time never runs, and may be given up.
+        # A job whose outcome is unknown may run, so it is submitted until accepted;
+        # only one that was always refused may be given up.
         while not submitted.accepted:
             status = await self.call("POST", submitted.job_id, job)
             submitted.answers.append(status)
--- a/soak/src/thymefork_soak/machine_sizes.py
+++ b/soak/src/thymefork_soak/machine_sizes.py
@@ -1,4 +1,4 @@
-"""Workers of unlike speed, and instances of unlike size."""
+"""Workers of different speeds and instances of different sizes."""
 
 import random
 
@@ -6,16 +6,15 @@
 
 __all__ = ["DEFAULT_SIZE", "InstanceSize", "instance_sizes", "worker_speeds"]
 
-# Of three workers, about one is over twice as fast as the others, as where old machines
-# stand beside new ones.
+# A mix of old and new machines.
 SPEEDS = (0.7, 0.7, 1.7)
 
 
 @frozen(kw_only=True)
 class InstanceSize:
-    """Hold what the settings tell a daemon of its machine.
+    """Hold the machine size in a daemon's settings.
 
-    Units: cores, megabytes, megabits a second; 0 where the settings tell nothing.
+    Units: cores, megabytes, megabits a second; 0 if the settings omit the value.
     """
 
     cores: float = 1.0
@@ -23,7 +22,7 @@
     link_mbps: int = 0
 
     def settings(self):
-        """Return the fields of the settings file."""
+        """Return the entries of the settings file."""
         fields = {"limits.cpu_share": "1", "limits.cores": f"{self.cores:g}"}
         if self.memory_mb:
             fields["limits.memory_mb"] = str(self.memory_mb)
@@ -39,15 +38,15 @@
 
 
 def worker_speeds(count, seed):
-    """Return how many times as fast as usual each worker is."""
-    drawn = random.Random(f"{seed} speeds")
-    return [drawn.choice(SPEEDS) for _ in range(count)]
+    """Return the relative speed of each worker."""
+    rng = random.Random(f"{seed} speeds")
+    return [rng.choice(SPEEDS) for _ in range(count)]
 
 
 def instance_sizes(count, seed):
-    """Return the sizes of the daemons in any order; one at least is large."""
-    drawn = random.Random(f"{seed} sizes")
-    others = [drawn.choice((LARGE, NARROW, SMALL)) for _ in range(count - 1)]
+    """Return shuffled sizes of the daemons, at least one of them large."""
+    rng = random.Random(f"{seed} sizes")
+    others = [rng.choice((LARGE, NARROW, SMALL)) for _ in range(count - 1)]
     sizes = [LARGE, *others]
-    drawn.shuffle(sizes)
+    rng.shuffle(sizes)
     return sizes
--- a/soak/src/thymefork_soak/main.py
+++ b/soak/src/thymefork_soak/main.py
@@ -1,4 +1,4 @@
-"""The command thymefork-soak: one seed, one verdict line."""
+"""Command `thymefork-soak`: run one soak test and print its verdict."""
 
 import asyncio
 import random
@@ -28,14 +28,14 @@
 
 __all__ = ["main", "soak"]
 
-# The daemons agree on their cells within about four seconds of the start.
+# Time for the daemons to start and take over their cells.
 SETTLE_S = 5.0
-# After the last fault, every accepted job has to end within this time.
+# Every accepted job must end within this time after the last fault.
 FINISH_S = 30.0
 WORKERS = 6
 CALLERS = 4
 LONG_RUNNING_CALLERS = 6
-# What was cancelled last is judged only after contact, cancelling and stop; and a bit.
+# Covers the reconnect, cancel and stop timeouts after the last cancellation.
 MARGIN_S = 6.5
 
 
@@ -49,7 +49,7 @@
     with_restarts=False,
     is_heterogeneous=False,
 ):
-    """Run one soak; return what it broke, and a line on what it saw."""
+    """Run one soak test; return the violations and a summary line."""
     rng = random.Random(seed)
     fleet = Fleet(
         instances=instances,
@@ -75,14 +75,14 @@
             )
             for number in range(CALLERS)
         ]
-        rolls = OutageRestarts(
+        restarts = OutageRestarts(
             fleet=fleet, random=random.Random(f"{seed} rolls"), workers=WORKERS
         )
         plan = FaultPlan(
             fleet=fleet,
             random=random.Random(rng.random()),
             workers=WORKERS,
-            rolls=rolls if with_restarts else None,
+            restarts=restarts if with_restarts else None,
         )
         long_running = [
             LongRunningCaller(
@@ -97,33 +97,35 @@
             random=random.Random(f"{seed} crashing"),
             account=UNLIMITED if with_accounts else "",
         )
-        rooms = CapacityChanges(
+        capacity_changes = CapacityChanges(
             fleet=fleet, random=random.Random(f"{seed} rooms"), workers=WORKERS
         )
         corrupter = EntryCorrupter(
             fleet=fleet, random=random.Random(f"{seed} spoiled"), workers=WORKERS
         )
         account_callers = _account_callers(fleet, seed) if with_accounts else []
-        kept = [asyncio.ensure_future(caller.work()) for caller in long_running]
+        long_running_tasks = [
+            asyncio.ensure_future(caller.work()) for caller in long_running
+        ]
         until = SETTLE_S + seconds
         await asyncio.gather(
             plan.work(until, now),
             plan.work_outages(until, now, random.Random(f"{seed} outages")),
             crashing.work(until, now),
-            rooms.work(until, now),
+            capacity_changes.work(until, now),
             corrupter.work(until, now),
             *(caller.work(until, now) for caller in callers),
-            *(asker.work(until, now) for asker in account_callers),
+            *(caller.work(until, now) for caller in account_callers),
         )
         (folder / "faults.txt").write_text("\n".join([*plan.done, ""]))
         callers += [*long_running, crashing]
-        violations = await _stop_long_running(long_running, kept)
+        violations = await _stop_long_running(long_running, long_running_tasks)
         await asyncio.sleep(MARGIN_S)
         violations += await _check_jobs(fleet, callers, now)
         violations += [
             line
-            for asker in account_callers
-            for line in getattr(asker, "violations", ())
+            for caller in account_callers
+            for line in getattr(caller, "violations", ())
         ]
     finally:
         fleet.stop()
@@ -138,22 +140,22 @@
 
 
 def _account_callers(fleet, seed):
-    """Return what changes the accounts, and who asks by keys that may not serve."""
-    parts = (AccountChanges, GuestCaller, StrangerCaller)
+    """Return the account changes and the callers with keys that may be refused."""
+    classes = (AccountChanges, GuestCaller, StrangerCaller)
     return [
-        part(fleet=fleet, random=random.Random(f"{seed} {part.__name__}"))
-        for part in parts
+        each(fleet=fleet, random=random.Random(f"{seed} {each.__name__}"))
+        for each in classes
     ]
 
 
-async def _stop_long_running(long_running, kept):
-    """End the lasting jobs; return whether some could not be ended."""
-    for caller in long_running:
+async def _stop_long_running(callers, tasks):
+    """Cancel the long-running jobs; return a violation if some did not end."""
+    for caller in callers:
         caller.leave()
-    ended, stuck = await asyncio.wait(kept, timeout=FINISH_S)
+    ended, stuck = await asyncio.wait(tasks, timeout=FINISH_S)
     for task in ended:
-        task.result()  # a fault of the soak's own is raised here
-    return [f"ACKS: {len(stuck)} lasting jobs are not ended"] if stuck else []
+        task.result()  # raises what failed in the caller itself
+    return [f"ACKS: {len(stuck)} long-running jobs did not end"] if stuck else []
 
 
 async def _check_jobs(fleet, callers, now):
@@ -163,30 +165,30 @@
     pending = [row for row in submitted_jobs if row[1].accepted]
     until = now() + FINISH_S
     while pending and now() < until:
-        left = []
+        unfinished = []
         for caller, submitted in pending:
             submitted.state = await caller.read_state(submitted)
             if submitted.state not in ("succeeded", "cancelled", "failed"):
-                left.append((caller, submitted))
-        pending = left
+                unfinished.append((caller, submitted))
+        pending = unfinished
         await asyncio.sleep(0.3)
     verdict = await fleet.control("verdict", {})
     violations = list(verdict["broken"])
     if verdict["faults"]:
-        # Without this, a fault that failed midway would excuse all that came after it.
-        raise RuntimeError("faults are under way still: nothing cancelled was judged")
+        # A fault that never ended would have disabled the checks after it.
+        raise RuntimeError("faults have not ended: cancelled jobs were not checked")
     started = set(verdict["started_jobs"])
     for _, submitted in submitted_jobs:
         if submitted.always_refused and submitted.job_id in started:
             violations.append(
                 f"REFUSED: {submitted.job_id} ran; answers {submitted.answers}"
             )
-        wanted = ("succeeded", "cancelled") if submitted.cancelled else ("succeeded",)
+        expected = ("succeeded", "cancelled") if submitted.cancelled else ("succeeded",)
         if submitted.long_running:
-            wanted = ("cancelled",)
+            expected = ("cancelled",)
         if submitted.crashing:
-            wanted = ("failed",)
-        if submitted.accepted and submitted.state not in wanted:
+            expected = ("failed",)
+        if submitted.accepted and submitted.state not in expected:
             violations.append(
                 f"LOST: {submitted.job_id} is {submitted.state or 'not answered'}"
             )
@@ -194,17 +196,17 @@
 
 
 def run(
-    seed: Annotated[int, typer.Option(help="Draws jobs and faults.")] = 1,
-    seconds: Annotated[float, typer.Option(help="How long faults come.")] = 20.0,
-    instances: Annotated[int, typer.Option(help="How many daemons.")] = 3,
-    rolls: Annotated[bool, typer.Option(help="Roll instances in outages.")] = True,
+    seed: Annotated[int, typer.Option(help="Seed of jobs and faults.")] = 1,
+    seconds: Annotated[float, typer.Option(help="How long to inject faults.")] = 20.0,
+    instances: Annotated[int, typer.Option(help="Number of daemons.")] = 3,
+    rolls: Annotated[bool, typer.Option(help="Restart instances in outages.")] = True,
     uneven: Annotated[
-        bool, typer.Option(help="Workers and instances of unlike size.")
+        bool, typer.Option(help="Workers and instances of different sizes.")
     ] = False,
 ):
-    """Run the daemons among faults and print one verdict line."""
+    """Run daemons under injected faults and print one verdict line."""
     folder = Path(tempfile.mkdtemp(prefix="thymefork-soak-"))
-    violations, seen = asyncio.run(
+    violations, summary = asyncio.run(
         soak(
             seed,
             seconds,
@@ -217,12 +219,12 @@
     for line in violations[:20]:
         typer.echo(line)
     word = "broken" if violations else "kept"
-    typer.echo(f"seed {seed}: promises {word}; {seen}; logs in {folder}")
+    typer.echo(f"seed {seed}: promises {word}; {summary}; logs in {folder}")
     raise typer.Exit(1 if violations else 0)
 
 
 def main():
-    """Enter from the command line."""
+    """Run the command line interface."""
     typer.run(run)
 
 
--- a/soak/src/thymefork_soak/outage_restarts.py
+++ b/soak/src/thymefork_soak/outage_restarts.py
@@ -1,20 +1,20 @@
-"""Workers that leave and instances that are rolled while the store is away."""
+"""Workers that drain and instances that restart while the store is unavailable."""
 
 import asyncio
 import signal
 
 __all__ = ["OutageRestarts"]
 
-# A worker's word that it leaves is read by the owners before the store is gone.
-TOLD_S = 0.8
-# It leaves this long after, in the outage: the outages last 3 to 8 s.
-LEAVES_AFTER_MS = (1_500.0, 4_000.0)
-ROLLED_AFTER_S = (0.3, 2.5)
-LEAVING = 2
+# Lets the owners read that a worker drains before the store becomes unavailable.
+DRAIN_NOTICE_S = 0.8
+# Within the outage, which lasts several seconds.
+LEAVE_AFTER_MS = (1_500.0, 4_000.0)
+RESTART_AFTER_S = (0.3, 2.5)
+LEAVING_WORKERS = 2
 
 
 class OutageRestarts:
-    """Beside each outage, let some workers leave and roll an instance."""
+    """Drain some workers and restart an instance around each outage."""
 
     def __init__(self, *, fleet, random, workers):
         self._fleet = fleet
@@ -22,16 +22,18 @@
         self._workers = workers
 
     async def begin(self):
-        """Let workers say that they leave."""
-        for worker in self._random.sample(range(self._workers), LEAVING):
-            after_ms = self._random.uniform(*LEAVES_AFTER_MS)
+        """Have some workers announce that they leave."""
+        for worker in self._random.sample(range(self._workers), LEAVING_WORKERS):
+            after_ms = self._random.uniform(*LEAVE_AFTER_MS)
             await self._fleet.control("leave", {"worker": worker, "after_ms": after_ms})
-        await asyncio.sleep(TOLD_S)
+        await asyncio.sleep(DRAIN_NOTICE_S)
 
     async def roll(self):
-        """Stop or kill an instance after a while, and start it again."""
-        number = self._random.choice((signal.SIGTERM, signal.SIGTERM, signal.SIGKILL))
-        await asyncio.sleep(self._random.uniform(*ROLLED_AFTER_S))
+        """Restart an instance after a delay, by SIGTERM or SIGKILL."""
+        signal_number = self._random.choice(
+            (signal.SIGTERM, signal.SIGTERM, signal.SIGKILL)
+        )
+        await asyncio.sleep(self._random.uniform(*RESTART_AFTER_S))
         running = [daemon for daemon in self._fleet.daemons if not daemon.stopped]
         if running:
-            await self._random.choice(running).restart(number, 0.2)
+            await self._random.choice(running).restart(signal_number, 0.2)
--- a/soak/src/thymefork_soak/proxy.py
+++ b/soak/src/thymefork_soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy between one daemon and the store, with faults of its own."""
+"""Loopback proxy between one daemon and the store that injects network faults."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 
 
 class Proxy:
-    """Pass bytes on; `mode` is "", silent, one_way, reset or delay."""
+    """Forward bytes; `mode` is "", silent, one_way, reset or delay."""
 
     def __init__(self, *, host, port, target):
         self.mode = ""
@@ -18,18 +18,18 @@
         self._server = None
 
     async def start(self):
-        """Listen."""
+        """Start to listen."""
         self._server = await asyncio.start_server(self._on_open, self._host, self._port)
 
     def set_mode(self, mode):
-        """Change the fault; resets break what is open."""
+        """Set the fault; `reset` also aborts open connections."""
         self.mode = mode
         if mode == "reset":
             for writer in list(self._writers):
                 writer.transport.abort()
 
     def stop(self):
-        """Stop listening, if it ever began."""
+        """Stop listening if started."""
         if self._server is not None:
             self._server.close()
 
@@ -38,21 +38,21 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
-            writer.transport.abort()  # the target is gone, so is this connection
+            writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
-        # The soak's end cancels what is still being passed on.
+        self._writers |= {writer, target_writer}
+        # Transfers are cancelled when the soak test ends.
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(
-                self._pass(reader, far_writer, ("silent",)),
-                self._pass(far_reader, writer, ("silent", "one_way")),
+                self._forward(reader, target_writer, ("silent",)),
+                self._forward(target_reader, writer, ("silent", "one_way")),
             )
-        self._writers -= {writer, far_writer}
+        self._writers -= {writer, target_writer}
 
-    async def _pass(self, reader, writer, blocked_by):
-        # A connection that breaks on one side is closed on the other.
+    async def _forward(self, reader, writer, blocked_by):
+        # If one side breaks, close the other.
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while data := await reader.read(CHUNK_BYTES):
                 while self.mode in blocked_by:
