--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -37,23 +37,23 @@
         file.write_text(text.replace(self.old, self.new), encoding="utf-8")
 
 
-def _stub(path, signature, value):
+def _patch_return(path, signature, value):
     """Return a patch by which a method does nothing but return a value."""
     return Patch(path=path, old=signature, new=f"{signature}\n        return {value}")
 
 
 MECHANISMS = {
-    "reservations": _stub(
+    "reservations": _patch_return(
         f"{_CELLS}/placing/reservations.py",
         "def _waits_for_room(self, step, now_ms):",
         "False",
     ),
-    "preemption": _stub(
+    "preemption": _patch_return(
         f"{_CELLS}/placing/preemptor.py",
         "def make_room(self, step, workers, wanted, now_ms):",
         "False",
     ),
-    "copies": _stub(
+    "copies": _patch_return(
         f"{_CELLS}/placing/step_order.py",
         "def startable(self, step, now_ms):",
         "step.waiting",
@@ -68,22 +68,24 @@
         old="        self.pause(now_ms)\n        return True",
         new="        return False",
     ),
-    "slow_pauses_and_moves": _stub(
+    "slow_pauses_and_moves": _patch_return(
         f"{_CELLS}/workers/watch.py", "def _judge_speed(self, worker, now_ms):", "None"
     ),
-    "standstill_stops": _stub(
+    "standstill_stops": _patch_return(
         f"{_CELLS}/workers/watch.py", "def _stands_still(self, run):", "False"
     ),
-    "pacing": _stub(f"{_CELLS}/workers/pacing.py", "def check(self, now_ms):", "None"),
-    "learned_times": _stub(
+    "pacing": _patch_return(
+        f"{_CELLS}/workers/pacing.py", "def check(self, now_ms):", "None"
+    ),
+    "learned_times": _patch_return(
         f"{_CELLS}/estimates/images.py", "def learn(self, image, took_ms):", "None"
     ),
-    "advice_ahead": _stub(
+    "advice_ahead": _patch_return(
         f"{_CELLS}/advice/desk.py",
         "def _is_near(self, step, cost_ms, now_ms):",
         "step.ready",
     ),
-    "advice_spread": _stub(
+    "advice_spread": _patch_return(
         f"{_DAEMON}/owner/advisers.py", "def update(self, links):", "None"
     ),
     "look_before_stop": Patch(
@@ -97,7 +99,7 @@
         old="SHORTEST_SILENCE_MS = 60.0",
         new="SHORTEST_SILENCE_MS = 300.0",
     ),
-    "owners_taken_out": _stub(
+    "owners_taken_out": _patch_return(
         f"{_DAEMON}/owner_watch.py", "def _take_out(self, address, reason):", "None"
     ),
     "neighbour_links": Patch(
--- a/soak/src/thymefork_soak/faults.py
+++ b/soak/src/thymefork_soak/faults.py
@@ -9,7 +9,7 @@
 FIRST_OUTAGE_S = 6.0
 # After an outage nothing else goes wrong for so long that cancelled tasks, which the
 # next takeover would stop as well, are judged: contact, cancelling and stop.
-QUIET_S = 7.0
+RECOVERY_S = 7.0
 PROXY_MODES = ("silent", "one_way", "reset", "delay")
 
 
@@ -23,8 +23,8 @@
         self._random = random
         self._workers = workers
         self._running = set()
-        self._open = asyncio.Event()
-        self._open.set()
+        self._faults_allowed = asyncio.Event()
+        self._faults_allowed.set()
         self._kinds = (
             self._kill,
             self._kill,
@@ -43,7 +43,7 @@
         """Begin a fault every so often; they end by themselves."""
         while now() < until:
             await asyncio.sleep(self._random.uniform(0.4, 2.0))
-            await self._open.wait()
+            await self._faults_allowed.wait()
             kind = self._random.choice(self._kinds)
             self.done.append(f"{now():.1f} {kind.__name__.strip('_')}")
             task = asyncio.ensure_future(self._carry_out(kind))
@@ -64,10 +64,10 @@
             self.done.append(f"{began:.1f} outage until {now():.1f}")
             if now() >= until:
                 return
-            self._open.clear()
+            self._faults_allowed.clear()
             await self._until_idle()
-            await asyncio.sleep(QUIET_S)
-            self._open.set()
+            await asyncio.sleep(RECOVERY_S)
+            self._faults_allowed.set()
             await asyncio.sleep(random.uniform(0.5, 4.0))
 
     async def _outage(self, random):
@@ -140,16 +140,16 @@
                 {"delay_ms": 120.0},
             )
         )
-        await self._fault_for("store", fault, self._random.uniform(0.5, 5.0))
+        await self._inject("store", fault, self._random.uniform(0.5, 5.0))
 
     async def _worker(self):
         fault = self._random.choice(
             ({"mode": "silent"}, {"mode": "reset"}, {"late_share": 0.3})
         )
         target = str(self._random.randrange(self._workers))
-        await self._fault_for(target, fault, self._random.uniform(0.5, 5.0))
+        await self._inject(target, fault, self._random.uniform(0.5, 5.0))
 
-    async def _fault_for(self, target, fault, for_s):
+    async def _inject(self, target, fault, for_s):
         await self._fleet.control("fault", {"target": target, **fault})
         await asyncio.sleep(for_s)
         await self._fleet.control("fault", {"target": target})
--- a/soak/src/thymefork_soak/fleet.py
+++ b/soak/src/thymefork_soak/fleet.py
@@ -153,7 +153,7 @@
             [sys.executable, "-m", "thymefork_soak.standin.process"]
             + [str(argument) for argument in arguments]
         )
-        await self._until_answered()
+        await self._wait_until_ready()
         await self.configure()
         for daemon in self.daemons:
             await daemon.proxy.start()
@@ -164,7 +164,7 @@
         self._version += steps
         await self.control("configure", configuration(self._version, self.accounts))
 
-    async def _until_answered(self):
+    async def _wait_until_ready(self):
         for _ in range(100):
             try:
                 await self.control("verdict", {})
--- a/soak/src/thymefork_soak/standin/advice.py
+++ b/soak/src/thymefork_soak/standin/advice.py
@@ -27,12 +27,12 @@
         rows = [
             [worker_id, f"t-{worker_id}"]
             for worker_id in body["workers"]
-            if (_sum_of_machine(worker_id) + sum(body["step"].encode())) % 3
+            if (_machine_checksum(worker_id) + sum(body["step"].encode())) % 3
         ]
         document = {"healthy": rows, "valid_ms": 2_500}
         self._loop.timers.after(DECISION_MS, lambda: answer(200, document))
 
 
-def _sum_of_machine(worker_id):
+def _machine_checksum(worker_id):
     machine, _, _ = worker_id.rpartition("-")
     return sum(machine.encode())
--- a/soak/src/thymefork_soak/standin/invariant_checker.py
+++ b/soak/src/thymefork_soak/standin/invariant_checker.py
@@ -76,7 +76,7 @@
         if not account or not limits or not all(limits):
             return
         used = sum(
-            len(workers) * self._cpu_of(task)
+            len(workers) * self._requested_cpu(task)
             for task, workers in self.running.items()
             if self.accounts.get(task.split(".")[0]) == account
         )
@@ -86,7 +86,7 @@
                 f"QUOTA: {where}: {account} has {used} of {max(limits)}"
             )
 
-    def _cpu_of(self, task):
+    def _requested_cpu(self, task):
         job_id, _, step, _ = task.split(".")
         return self.jobs[job_id]["steps"][int(step)]["cpu"]
 
@@ -95,7 +95,7 @@
 
         An older one may be until machines in touch must have taken the next.
         """
-        may_be = []
+        possible = []
         for (_, limits), (next_ms, _) in zip(
             self.limits, self.limits[1:], strict=False
         ):
@@ -104,8 +104,8 @@
                 + CONFIG_TIMEOUT_MS
             )
             if self.faults or now_ms <= due_ms:
-                may_be.append(limits)
-        return [*may_be, *(limits for _, limits in self.limits[-1:])]
+                possible.append(limits)
+        return [*possible, *(limits for _, limits in self.limits[-1:])]
 
     def on_end(self, worker, task, outcome):
         """Note that a run is over."""
--- a/soak/src/thymefork_soak/standin/log.py
+++ b/soak/src/thymefork_soak/standin/log.py
@@ -98,7 +98,7 @@
         partition on is a change that raises the generation.
         """
         names = list(reversed(self.members))
-        is_reassigned = False
+        is_changed = False
         for part in range(self.parts):
             wanted = names[part * len(names) // self.parts] if names else ""
             holder = self.owners.get(part, "")
@@ -107,5 +107,5 @@
             old = self.members.get(holder)
             if old is None or old.generation >= self.generation:
                 self.owners[part] = wanted
-                is_reassigned = True
-        self.generation += is_reassigned
+                is_changed = True
+        self.generation += is_changed
--- a/soak/src/thymefork_soak/standin/process.py
+++ b/soak/src/thymefork_soak/standin/process.py
@@ -48,8 +48,8 @@
                 host=host,
                 port=first_port + 3 + number,
                 name=f"m{number}",
-                life=1,
-                ledger=self._checker,
+                incarnation=1,
+                checker=self._checker,
                 cpu_milli=8_000,
                 seed=seed + number,
                 random=random.Random(seed * 1_000 + number),
@@ -57,7 +57,7 @@
             )
             for number, speed in enumerate(speeds)
         ]
-        self._listed = {}
+        self._listed_ids = {}
         self._published = {}
         self._unlisted = set()
         loop.timers.every(HEARTBEAT_MS, self._write_heartbeats)
@@ -67,7 +67,7 @@
         for worker in self._workers:
             if worker in self._unlisted:
                 continue
-            old = self._listed.get(worker.name)
+            old = self._listed_ids.get(worker.name)
             if worker.down_since_ms:
                 self._expire_entry(worker, old)
                 continue
@@ -81,14 +81,14 @@
             )
             if self._published.get(worker.name) != published or old != worker.worker_id:
                 self.store.put(WORKERS_TOPIC, worker.worker_id, worker.entry())
-                self._listed[worker.name] = worker.worker_id
+                self._listed_ids[worker.name] = worker.worker_id
                 self._published[worker.name] = published
 
     def _expire_entry(self, worker, entry):
         """Let the entry of a worker that is down go after its heartbeats' silence."""
         if entry and steady_ms() - worker.down_since_ms > ENTRY_TTL_MS:
             self.store.put(WORKERS_TOPIC, entry, None)
-            del self._listed[worker.name]
+            del self._listed_ids[worker.name]
 
     def _check_cancelled(self):
         self._checker.check_cancelled(steady_ms())
@@ -120,7 +120,7 @@
             self._workers[int(target)].faulty_server.faults = faults
 
     def _outage(self, body):
-        self._listed.clear()
+        self._listed_ids.clear()
         self._unlisted = set(self._workers)
         self.store.begin_outage(Faults(mode=body["mode"]), WORKERS_TOPIC)
 
--- a/soak/src/thymefork_soak/standin/worker.py
+++ b/soak/src/thymefork_soak/standin/worker.py
@@ -37,8 +37,8 @@
         host,
         port,
         name,
-        life,
-        ledger,
+        incarnation,
+        checker,
         cpu_milli,
         seed,
         random,
@@ -46,7 +46,7 @@
     ):
         self.name = name
         self._speed = speed
-        self._id_number = life
+        self._id_number = incarnation
         self._id_random = random_module.Random(f"{seed} {name} ids")
         self.born_epoch_ms = 0
         self.cpu_milli = cpu_milli
@@ -54,17 +54,17 @@
         self.down_since_ms = 0.0
         self._earlier_capacities = []
         self._loop = loop
-        self._checker = ledger
+        self._checker = checker
         self._random = random
         self.faulty_server = FaultyServer(
             loop=loop, host=host, port=port, handle=self._on_call, seed=seed
         )
-        self._reset(life)
+        self._reset(incarnation)
         loop.timers.every(TICK_MS, self._tick)
 
-    def _reset(self, life):
+    def _reset(self, incarnation):
         self.worker_id = f"{self.name}-{self._id_number}"
-        self.life = life
+        self.incarnation = incarnation
         self._began_ms = steady_ms()
         born_epoch_ms = round(time.time() * 1000.0)
         self.born_epoch_ms = max(self.born_epoch_ms + 1, born_epoch_ms)
@@ -79,11 +79,11 @@
 
     def leave(self, after_ms):
         """Say that this life ends, and end it after a while."""
-        self.draining, life = True, self.life
-        self._loop.timers.after(after_ms, lambda: self._end_incarnation(life))
+        self.draining, incarnation = True, self.incarnation
+        self._loop.timers.after(after_ms, lambda: self._end_incarnation(incarnation))
 
-    def _end_incarnation(self, life):
-        if self.life == life:
+    def _end_incarnation(self, incarnation):
+        if self.incarnation == incarnation:
             self.crash(self._random.uniform(*DOWNTIME_MS))
 
     def crash(self, down_ms=0.0):
@@ -95,7 +95,7 @@
         self.faulty_server.close_connections()
         if self._id_random.random() >= SAME_ID_SHARE:
             self._id_number += 1
-        self._reset(self.life + 1)
+        self._reset(self.incarnation + 1)
         if down_ms:
             self.down_since_ms = steady_ms()
             self.faulty_server.outage = Faults(mode="reset")
@@ -104,7 +104,7 @@
     def _restart(self):
         self.down_since_ms = 0.0
         self.faulty_server.outage = None
-        self._reset(self.life)
+        self._reset(self.incarnation)
 
     def _clock_ms(self):
         """Return what the clock of this life shows."""
@@ -116,8 +116,8 @@
         until_ms = min(until_ms, steady_ms() + MAX_HOLD_MS)
         self._lease_until_ms = max(self._lease_until_ms, until_ms)
 
-    def _crash_if_running(self, key, life):
-        if self.life == life and key in self._running:
+    def _crash_if_running(self, key, incarnation):
+        if self.incarnation == incarnation and key in self._running:
             self.crash(self._random.uniform(*DOWNTIME_MS))
 
     def resize(self, cpu_milli):
@@ -199,7 +199,7 @@
             return
         self._fence = body["fence_token"]
         if request.path == "/hold":
-            self._hold(body, answer)
+            self._answer_poll(body, answer)
         elif request.path == "/run-start":
             self._start(body, answer, clock_ms)
         elif request.path == "/run-stop":
@@ -246,9 +246,9 @@
         crashes_after_ms = self._checker.crashes_after_ms.get(task)
         if crashes_after_ms is not None:
             self._running[key].ends_ms = float("inf")
-            life = self.life
+            incarnation = self.incarnation
             self._loop.timers.after(
-                crashes_after_ms, lambda: self._crash_if_running(key, life)
+                crashes_after_ms, lambda: self._crash_if_running(key, incarnation)
             )
 
     def _draw_end(self, step):
@@ -269,7 +269,7 @@
             self._end(key, "stopped")
         answer(200, {"clock_ms": clock_ms})
 
-    def _hold(self, body, answer):
+    def _answer_poll(self, body, answer):
         now_ms = steady_ms()
         for row in self._ended:
             if row[0] <= body["last_seen"]:
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -74,10 +74,10 @@
 
 
 def test_the_ledger_sees_two_runs_at_once():
-    ledger = checker_of_one_job()
-    ledger.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
-    ledger.on_start(Worker(), "j.0.0.0", 2, "s", 0.0)
-    assert ledger.violations and ledger.violations[0].startswith("TWICE")
+    checker = checker_of_one_job()
+    checker.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
+    checker.on_start(Worker(), "j.0.0.0", 2, "s", 0.0)
+    assert checker.violations and checker.violations[0].startswith("TWICE")
 
 
 # From an incident: tasks ran for a minute after their job's cancel was acknowledged.
@@ -89,32 +89,32 @@
 def test_the_ledger_sees_tasks_that_outlast_their_cancelled_job(
     acknowledged_ms, fault_ended_ms, due_ms
 ):
-    ledger = checker_of_one_job()
-    ledger.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
-    ledger.on_fault(1, 4_000)
-    ledger.on_fault(-1, fault_ended_ms)
-    ledger.check_cancelled(60_000)
-    ledger.on_cancelled("j", acknowledged_ms)
-    ledger.on_cancelled("j", 50_000)
-    ledger.check_cancelled(due_ms)
-    assert not ledger.violations
-    ledger.check_cancelled(due_ms + 1)
-    ledger.check_cancelled(due_ms + 101)
-    assert [line.split(":")[0] for line in ledger.violations] == ["UNASKED"]
+    checker = checker_of_one_job()
+    checker.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
+    checker.on_fault(1, 4_000)
+    checker.on_fault(-1, fault_ended_ms)
+    checker.check_cancelled(60_000)
+    checker.on_cancelled("j", acknowledged_ms)
+    checker.on_cancelled("j", 50_000)
+    checker.check_cancelled(due_ms)
+    assert not checker.violations
+    checker.check_cancelled(due_ms + 1)
+    checker.check_cancelled(due_ms + 101)
+    assert [line.split(":")[0] for line in checker.violations] == ["UNASKED"]
 
 
 def test_the_ledger_counts_no_time_under_a_fault_and_no_task_that_has_ended():
-    ledger = checker_of_one_job()
-    ledger.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
-    ledger.on_cancelled("j", 0.0)
-    ledger.on_fault(1, 1_000)
-    ledger.on_fault(1, 1_500)
-    ledger.on_fault(-1, 2_000)
-    ledger.check_cancelled(60_000)
-    ledger.on_fault(-1, 60_000)
-    ledger.on_end(Worker(), "j.0.0.0", "stopped")
-    ledger.check_cancelled(120_000)
-    assert not ledger.violations
+    checker = checker_of_one_job()
+    checker.on_start(Worker(), "j.0.0.0", 1, "s", 0.0)
+    checker.on_cancelled("j", 0.0)
+    checker.on_fault(1, 1_000)
+    checker.on_fault(1, 1_500)
+    checker.on_fault(-1, 2_000)
+    checker.check_cancelled(60_000)
+    checker.on_fault(-1, 60_000)
+    checker.on_end(Worker(), "j.0.0.0", "stopped")
+    checker.check_cancelled(120_000)
+    assert not checker.violations
 
 
 @pytest.mark.parametrize(
@@ -130,13 +130,13 @@
 def test_the_ledger_sees_starts_of_a_cancelled_job(
     fault_ended_ms, started_ms, violations
 ):
-    ledger = checker_of_one_job()
-    ledger.on_fault(1, 4_000)
+    checker = checker_of_one_job()
+    checker.on_fault(1, 4_000)
     if fault_ended_ms is not None:
-        ledger.on_fault(-1, fault_ended_ms)
-    ledger.on_cancelled("j", 10_000)
-    ledger.on_start(Worker(), "j.0.0.0", 1, "s", started_ms)
-    assert [line.split(":")[0] for line in ledger.violations] == [
+        checker.on_fault(-1, fault_ended_ms)
+    checker.on_cancelled("j", 10_000)
+    checker.on_start(Worker(), "j.0.0.0", 1, "s", started_ms)
+    assert [line.split(":")[0] for line in checker.violations] == [
         "UNASKED"
     ] * violations
 
@@ -172,46 +172,46 @@
 
 
 def test_the_ledger_sees_a_task_started_again_after_workers_have_crashed_under_it():
-    ledger = checker_of_one_job()
-    ledger.crashes_after_ms["j.0.0.0"] = 10.0
+    checker = checker_of_one_job()
+    checker.crashes_after_ms["j.0.0.0"] = 10.0
     for run_id in range(1, 6):
-        ledger.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
-        ledger.on_end(Worker(), "j.0.0.0", "crashed")
-        ledger.on_crash({"j.0.0.0"})
-    assert not ledger.violations
-    ledger.on_start(Worker(), "j.0.0.0", 6, "s", 0.0)
-    assert [line.split(":")[0] for line in ledger.violations] == ["BUDGET"]
+        checker.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
+        checker.on_end(Worker(), "j.0.0.0", "crashed")
+        checker.on_crash({"j.0.0.0"})
+    assert not checker.violations
+    checker.on_start(Worker(), "j.0.0.0", 6, "s", 0.0)
+    assert [line.split(":")[0] for line in checker.violations] == ["BUDGET"]
 
 
 def test_the_ledger_blames_no_task_for_a_crash_that_is_not_its_own():
-    ledger = checker_of_one_job()
+    checker = checker_of_one_job()
     for run_id in range(1, 9):
-        ledger.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
-        ledger.on_end(Worker(), "j.0.0.0", "crashed")
-        ledger.on_crash({"j.0.0.0"})
-    assert not ledger.violations
+        checker.on_start(Worker(), "j.0.0.0", run_id, "s", 0.0)
+        checker.on_end(Worker(), "j.0.0.0", "crashed")
+        checker.on_crash({"j.0.0.0"})
+    assert not checker.violations
 
 
 @pytest.mark.parametrize(("used", "violations"), [(10, []), (11, ["LIMIT"])])
 def test_the_ledger_sees_a_start_over_the_room_that_counts(used, violations):
-    ledger = checker_of_one_job()
-    ledger.on_start(Worker(used), "j.0.0.0", 1, "s", 0.0)
-    assert [line.split(":")[0] for line in ledger.violations] == violations
+    checker = checker_of_one_job()
+    checker.on_start(Worker(used), "j.0.0.0", 1, "s", 0.0)
+    assert [line.split(":")[0] for line in checker.violations] == violations
 
 
 def checker_of_an_account(*limits):
-    ledger = checker_of_one_job()
-    ledger.jobs["j"]["steps"] = [{"count": 9, "cpu": 100}]
-    ledger.accounts["j"] = "a"
+    checker = checker_of_one_job()
+    checker.jobs["j"]["steps"] = [{"count": 9, "cpu": 100}]
+    checker.accounts["j"] = "a"
     for at_ms, cpu_milli in limits:
-        ledger.on_limits({"a": cpu_milli}, at_ms)
-    return ledger
+        checker.on_limits({"a": cpu_milli}, at_ms)
+    return checker
 
 
-def starts(ledger, count, now_ms):
+def starts(checker, count, now_ms):
     for index in range(count):
-        ledger.on_start(Worker(), f"j.0.0.{index}", 1, "s", now_ms)
-    return [line.split(":")[0] for line in ledger.violations]
+        checker.on_start(Worker(), f"j.0.0.{index}", 1, "s", now_ms)
+    return [line.split(":")[0] for line in checker.violations]
 
 
 # A limit of 200 may be passed by a tenth and one task: at 400 it is broken.
@@ -224,8 +224,8 @@
     ("started_ms", "violations"), [(13_000.0, []), (13_001.0, ["QUOTA"])]
 )
 def test_an_older_limit_counts_while_it_may_be_in_force(started_ms, violations):
-    ledger = checker_of_an_account((0.0, 900), (10_000.0, 200))
-    assert starts(ledger, 4, started_ms) == violations
+    checker = checker_of_an_account((0.0, 900), (10_000.0, 200))
+    assert starts(checker, 4, started_ms) == violations
 
 
 def test_an_account_without_a_limit_breaks_none():
