--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -44,22 +44,22 @@
 
 MECHANISMS = {
     "reservations": _patch_return(
-        f"{_CELLS}/placing/reservations.py",
+        f"{_CELLS}/placement/reservations.py",
         "def _waits_for_room(self, step, now_ms):",
         "False",
     ),
     "preemption": _patch_return(
-        f"{_CELLS}/placing/preemptor.py",
+        f"{_CELLS}/placement/preemptor.py",
         "def make_room(self, step, workers, wanted, now_ms):",
         "False",
     ),
     "copies": _patch_return(
-        f"{_CELLS}/placing/step_order.py",
+        f"{_CELLS}/placement/step_order.py",
         "def startable(self, step, now_ms):",
         "step.waiting",
     ),
     "hall_preference": Patch(
-        path=f"{_CELLS}/placing/worker_choice.py",
+        path=f"{_CELLS}/placement/worker_ranking.py",
         old="OTHER_HALL_PENALTY = 1.6",
         new="OTHER_HALL_PENALTY = 0.0",
     ),
@@ -69,41 +69,47 @@
         new="        return False",
     ),
     "slow_pauses_and_moves": _patch_return(
-        f"{_CELLS}/workers/watch.py", "def _judge_speed(self, worker, now_ms):", "None"
+        f"{_CELLS}/workers/progress_monitor.py",
+        "def _check_speed(self, worker, now_ms):",
+        "None",
     ),
     "standstill_stops": _patch_return(
-        f"{_CELLS}/workers/watch.py", "def _stands_still(self, run):", "False"
+        f"{_CELLS}/workers/progress_monitor.py", "def _is_stalled(self, run):", "False"
     ),
     "pacing": _patch_return(
         f"{_CELLS}/workers/pacing.py", "def check(self, now_ms):", "None"
     ),
     "learned_times": _patch_return(
-        f"{_CELLS}/estimates/images.py", "def learn(self, image, took_ms):", "None"
+        f"{_CELLS}/estimates/image_durations.py",
+        "def learn(self, image, took_ms):",
+        "None",
     ),
     "advice_ahead": _patch_return(
-        f"{_CELLS}/advice/desk.py",
+        f"{_CELLS}/advice/requester.py",
         "def _is_near(self, step, cost_ms, now_ms):",
         "step.ready",
     ),
     "advice_spread": _patch_return(
-        f"{_DAEMON}/owner/advisers.py", "def update(self, links):", "None"
+        f"{_DAEMON}/owner/advice_dispatcher.py", "def update(self, links):", "None"
     ),
     "look_before_stop": Patch(
-        path=f"{_CELLS}/workers/orders.py",
-        old="            self._looks.doubt_hall(run.worker, now_ms)\n",
-        new="            self._looks.doubt_hall(run.worker, now_ms)\n"
+        path=f"{_CELLS}/workers/commands.py",
+        old="            self._poller.suspect_hall(run.worker, now_ms)\n",
+        new="            self._poller.suspect_hall(run.worker, now_ms)\n"
         '            self._lifecycle.stop(run, "its start was not answered")\n',
     ),
     "quick_silence": Patch(
         path=f"{_MACHINES}/worker_client.py",
-        old="SHORTEST_SILENCE_MS = 60.0",
-        new="SHORTEST_SILENCE_MS = 300.0",
+        old="MIN_TIMEOUT_MS = 60.0",
+        new="MIN_TIMEOUT_MS = 300.0",
     ),
     "owners_taken_out": _patch_return(
-        f"{_DAEMON}/owner_watch.py", "def _take_out(self, address, reason):", "None"
+        f"{_DAEMON}/owner_watch.py", "def _evict(self, address, reason):", "None"
     ),
     "neighbour_links": Patch(
-        path=f"{_DAEMON}/peer_desk.py", old="NEIGHBOURS = 3", new="NEIGHBOURS = 0"
+        path=f"{_DAEMON}/peer_dispatcher.py",
+        old="NEIGHBOUR_LINKS = 3",
+        new="NEIGHBOUR_LINKS = 0",
     ),
     "readiness_by_owner": Patch(
         path=f"{_DAEMON}/readiness.py",
@@ -112,8 +118,8 @@
     ),
     "holding_for_successor": Patch(
         path=f"{_DAEMON}/gateway.py",
-        old="FIND_SUCCESSOR_MS = 1_600.0",
-        new="FIND_SUCCESSOR_MS = FIND_OWNER_MS",
+        old="FIND_NEXT_OWNER_MS = 1_600.0",
+        new="FIND_NEXT_OWNER_MS = FIND_OWNER_MS",
     ),
     "outage_quorum": Patch(
         path=f"{_DAEMON}/owner/cell_owner.py",
@@ -122,7 +128,7 @@
         new="        return False",
     ),
     "lingering": Patch(
-        path=f"{_DAEMON}/owner/turn_loop.py",
+        path=f"{_DAEMON}/owner/scheduling_loop.py",
         old="LINGER_MS = 30.0",
         new="LINGER_MS = 0.0",
     ),
