--- a/soak/src/thymefork_soak/main.py
+++ b/soak/src/thymefork_soak/main.py
@@ -115,7 +115,7 @@
             capacity_changes.work(until, now),
             corrupter.work(until, now),
             *(caller.work(until, now) for caller in callers),
-            *(caller.work(until, now) for caller in account_callers),
+            *(extra.work(until, now) for extra in account_callers),
         )
         (folder / "faults.txt").write_text("\n".join([*plan.history, ""]))
         callers += [*long_running, crashing]
@@ -124,8 +124,8 @@
         violations += await _check_jobs(fleet, callers, now)
         violations += [
             line
-            for caller in account_callers
-            for line in getattr(caller, "violations", ())
+            for extra in account_callers
+            for line in getattr(extra, "violations", ())
         ]
     finally:
         fleet.stop()
--- a/soak/src/thymefork_soak/standin/log.py
+++ b/soak/src/thymefork_soak/standin/log.py
@@ -100,12 +100,12 @@
         names = list(reversed(self.members))
         is_changed = False
         for part in range(self.parts):
-            wanted = names[part * len(names) // self.parts] if names else ""
-            holder = self.owners.get(part, "")
-            if holder == wanted:
+            assignee = names[part * len(names) // self.parts] if names else ""
+            owner = self.owners.get(part, "")
+            if owner == assignee:
                 continue
-            old = self.members.get(holder)
-            if old is None or old.generation >= self.generation:
-                self.owners[part] = wanted
+            member = self.members.get(owner)
+            if member is None or member.generation >= self.generation:
+                self.owners[part] = assignee
                 is_changed = True
         self.generation += is_changed
