--- a/bench/experiments.py
+++ b/bench/experiments.py
@@ -32,7 +32,7 @@
 from .load_file import read_load
 from .load_simulation import LoadSimulation
 
-__all__ = ["VARIANTS", "Outcome", "compare", "main", "play"]
+__all__ = ["VARIANTS", "Outcome", "compare", "main", "simulate"]
 
 
 def _emptiest_first(spec, worker, speed_scorer=None):
@@ -139,7 +139,7 @@
             setattr(owner, name, value)
 
 
-def play(path, variant, seed):
+def simulate(path, variant, seed):
     """Simulate a load once."""
     with _variant_applied(variant):
         result = LoadSimulation(load=read_load(path), seed=seed).run()
@@ -151,7 +151,9 @@
     cases = [(variant, seed) for variant in variants for seed in range(1, seeds + 1)]
     outcomes_by_variant = {variant: [] for variant in variants}
     with ProcessPoolExecutor(processes) as pool:
-        futures = [pool.submit(play, path, variant, seed) for variant, seed in cases]
+        futures = [
+            pool.submit(simulate, path, variant, seed) for variant, seed in cases
+        ]
         for number, ((variant, _), future) in enumerate(
             zip(cases, futures, strict=True), 1
         ):
--- a/bench/load_simulation.py
+++ b/bench/load_simulation.py
@@ -67,7 +67,7 @@
         self._load = load
         self._random = random.Random(seed)
         self._durations_ms = {}
-        self._sent = {}
+        self._sent_jobs = {}
         self._promised_at_ms = {}
         self._harness = self._deploy()
 
@@ -98,7 +98,7 @@
         return harness
 
     def _keeps_progress(self, task):
-        return self._sent[task.split(".")[0]].kind.checkpoints
+        return self._sent_jobs[task.split(".")[0]].kind.checkpoints
 
     def _configuration(self):
         queues = tuple(
@@ -126,7 +126,7 @@
         return Configuration(version=1, queues=queues, accounts=accounts)
 
     def _allows(self, step, worker_id):
-        kind = self._sent[step.split(".")[0]].kind
+        kind = self._sent_jobs[step.split(".")[0]].kind
         draw = random.Random(f"{step} {worker_id}").random()
         return draw < kind.allowed_share
 
@@ -195,7 +195,7 @@
                 factor = self._random.uniform(0.7, 1.3)
                 self._durations_ms[f"{job_id}.0.{number}.{index}"] = work_ms * factor
         longest_ms = 1.3 * work_ms * kind.steps
-        self._sent[job_id] = _SentJob(
+        self._sent_jobs[job_id] = _SentJob(
             kind=kind,
             account=account.name,
             objective_ms=kind.stretch * longest_ms + kind.target_ms,
@@ -218,7 +218,7 @@
 
     def _result(self):
         earned, promised, in_time = {}, {}, []
-        for job_id, sent in self._sent.items():
+        for job_id, sent in self._sent_jobs.items():
             if not sent.is_promised:
                 continue
             value = self._value_of(job_id, sent)
--- a/bench/tests/test_experiments.py
+++ b/bench/tests/test_experiments.py
@@ -52,14 +52,14 @@
 
 def test_variant_is_undone_after_its_simulation(path):
     before = experiments.advice_choice.MARGIN
-    experiments.play(path, "calls for three times what is needed", 1)
+    experiments.simulate(path, "calls for three times what is needed", 1)
     assert experiments.advice_choice.MARGIN == before
 
 
 def test_jobs_beyond_the_promised_rate_are_not_counted(path):
     simulation = LoadSimulation(load=read_load(path), seed=1)
     simulation.run()
-    sent = [one for one in simulation._sent.values() if one.account == "a"]
+    sent = [one for one in simulation._sent_jobs.values() if one.account == "a"]
     assert (
         sum(one.is_promised for one in sent)
         <= 2 * (LOAD["seconds"] + 1)
@@ -78,7 +78,7 @@
     ],
 )
 def test_alternative_order_earns_worth(path, variant):
-    assert experiments.play(path, variant, 1).worth > 0
+    assert experiments.simulate(path, variant, 1).worth > 0
 
 
 def test_account_sends_only_its_kinds(path):
@@ -89,7 +89,7 @@
     path.write_bytes(orjson.dumps(load))
     simulation = LoadSimulation(load=read_load(path), seed=1)
     simulation.run()
-    sent = simulation._sent.values()
+    sent = simulation._sent_jobs.values()
     assert {one.kind.name for one in sent if one.account == "a"} == {"merge"}
     assert {one.kind.name for one in sent if one.account == "b"} == {"lookup", "merge"}
 
--- a/soak/src/thymefork_soak/faults.py
+++ b/soak/src/thymefork_soak/faults.py
@@ -72,10 +72,12 @@
     async def _outage(self, random):
         mode = random.choice(("silent", "silent", "busy", "reset"))
         if self._restarts is not None:
-            await self._restarts.begin()
+            await self._restarts.drain_workers()
         await self._fleet.control("outage", {"mode": mode})
         restart = (
-            asyncio.ensure_future(self._restarts.roll()) if self._restarts else None
+            asyncio.ensure_future(self._restarts.restart_instance())
+            if self._restarts
+            else None
         )
         await asyncio.sleep(random.uniform(3.0, 8.0))
         await self._fleet.control("outage_end", {})
--- a/soak/src/thymefork_soak/outage_restarts.py
+++ b/soak/src/thymefork_soak/outage_restarts.py
@@ -21,14 +21,14 @@
         self._random = random
         self._workers = workers
 
-    async def begin(self):
+    async def drain_workers(self):
         """Have some workers announce that they leave."""
         for worker in self._random.sample(range(self._workers), LEAVING_WORKERS):
             after_ms = self._random.uniform(*LEAVE_AFTER_MS)
             await self._fleet.control("leave", {"worker": worker, "after_ms": after_ms})
         await asyncio.sleep(DRAIN_NOTICE_S)
 
-    async def roll(self):
+    async def restart_instance(self):
         """Restart an instance after a delay, by SIGTERM or SIGKILL."""
         signal_number = self._random.choice(
             (signal.SIGTERM, signal.SIGTERM, signal.SIGKILL)
