--- a/soak/src/thymefork_soak/standin/invariant_checker.py
+++ b/soak/src/thymefork_soak/standin/invariant_checker.py
@@ -139,7 +139,7 @@
         self.cancelled_ms.setdefault(job_id, acknowledged_ms)
 
     def on_fault(self, change, now_ms):
-        """Record the begin (1) or end (-1) of a fault."""
+        """Record the start (1) or end (-1) of a fault."""
         self.faults += change
         self.stable_since_ms = now_ms
 
--- a/soak/src/thymefork_soak/standin/worker.py
+++ b/soak/src/thymefork_soak/standin/worker.py
@@ -87,7 +87,7 @@
             self.crash(self._random.uniform(*DOWNTIME_MS))
 
     def crash(self, down_ms=0.0):
-        """Lose all runs and start a new incarnation after `down_ms`."""
+        """Lose all runs; restart as a new incarnation, unreachable for `down_ms`."""
         tasks = {task for task, _ in self._running}
         for task in tasks:
             self._checker.on_end(self, task, "crashed")
