--- a/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP requests."""
+"""HTTP front end for callers."""
 
 from attrs import evolve
 from loguru import logger
@@ -12,17 +12,17 @@
 
 __all__ = ["Frontend"]
 
-# A request whose caller names no deadline is answered within this time.
-DEFAULT_PATIENCE_MS = 3_000.0
-# The answer has to reach the caller before it stops waiting.
+# Used when the caller names no deadline.
+DEFAULT_TIMEOUT_MS = 3_000.0
+# The answer has to reach the caller before its deadline.
 ANSWER_MARGIN_MS = 120.0
 NO_CONFIGURATION_RETRY_MS = 1_000
-# A job's record holds its queue's name, its key and times beside its description.
+# Queue name, key and timestamps that a job's record holds beside its spec.
 RECORD_MARGIN_BYTES = 1_024
 
 
 class Frontend:
-    """Check requests, answer what needs no owner, and forward the rest."""
+    """Validate requests, answer those that need no owner, and forward the rest."""
 
     def __init__(self, *, daemon):
         self._daemon = daemon
@@ -35,7 +35,7 @@
         )
 
     def on_configuration(self, configuration):
-        """Take the limits of a newer configuration."""
+        """Apply the limits of a new configuration."""
         self.server.limits = ServerLimits(
             header_bytes=configuration.header_bytes,
             body_bytes=configuration.body_bytes,
@@ -63,26 +63,26 @@
             self._refuse_key(request)
             return
         try:
-            wanted = CallerRequests.read(request, queue.path_prefix)
+            operation = CallerRequests.read(request, queue.path_prefix)
         except ThymeforkError as failure:
-            self._refuse_bad(request, failure)
+            self._refuse_invalid(request, failure)
             return
         account_name = account.name if account is not None else ""
-        self._forward(request, queue, wanted, account_name)
+        self._forward(request, queue, operation, account_name)
 
     def _refuse_key(self, request):
         reason = "unknown_key" if CallerRequests.api_key_of(request) else "no_key"
         self._daemon.metrics.count("refusals", reason)
         CallerRequests.refuse(request, 401, reason=reason)
 
-    def _refuse_bad(self, request, failure):
+    def _refuse_invalid(self, request, failure):
         self._daemon.metrics.count("refusals", f"bad_request_{failure.status}")
         line = logger.bind(event="bad_request", path=request.path)
-        line.info("{}", failure)
+        line.info("rejected an invalid request: {}", failure)
         CallerRequests.refuse(request, failure.status, reason=str(failure))
 
-    def _forward(self, request, queue, wanted, account_name):
-        data = encode_spec(wanted.spec) if wanted.spec is not None else b""
+    def _forward(self, request, queue, operation, account_name):
+        data = encode_spec(operation.spec) if operation.spec is not None else b""
         if (
             len(data) + RECORD_MARGIN_BYTES
             > self._daemon.settings.store.max_record_bytes
@@ -90,47 +90,47 @@
             self._on_refused(413)
             request.answer(413)
             return
-        deadline_ms = request.arrived_ms + self._patience_ms(request)
-        self._daemon.metrics.count("requests", wanted.kind)
+        deadline_ms = request.arrived_ms + self._timeout_ms(request)
+        self._daemon.metrics.count("requests", operation.kind)
 
         def respond(reply):
             took_ms = steady_ms() - request.arrived_ms
-            self._daemon.metrics.observe("request", took_ms, kind=wanted.kind)
+            self._daemon.metrics.observe("request", took_ms, kind=operation.kind)
             if reply.outcome in (Outcome.REFUSED, Outcome.IN_DOUBT):
-                _log_refusal(wanted, queue, reply, took_ms)
+                _log_refusal(operation, queue, reply, took_ms)
             if (
                 reply.outcome == Outcome.REFUSED
                 and self._daemon.readiness.is_disconnected
             ):
-                # Others can serve it: the caller need not wait, nor come back here.
+                # Another instance can serve it: no retry delay, new connection.
                 request.keep_alive = False
                 reply = evolve(reply, retry_after_ms=0)
             CallerRequests.answer(request, reply)
 
         self._daemon.gateway.request(
-            wanted.kind,
+            operation.kind,
             queue.name,
-            wanted.job_id,
+            operation.job_id,
             data,
             deadline_ms,
             respond,
             account_name=account_name,
         )
 
-    def _patience_ms(self, request):
+    def _timeout_ms(self, request):
         text = request.headers.get("deadline-ms", "")
-        given_ms = float(text) if text.isdigit() else DEFAULT_PATIENCE_MS
-        return max(ANSWER_MARGIN_MS, given_ms - ANSWER_MARGIN_MS)
+        requested_ms = float(text) if text.isdigit() else DEFAULT_TIMEOUT_MS
+        return max(ANSWER_MARGIN_MS, requested_ms - ANSWER_MARGIN_MS)
 
 
-def _log_refusal(wanted, queue, reply, took_ms):
-    """Log a request that was not carried out, or is in doubt, with its id."""
+def _log_refusal(operation, queue, reply, took_ms):
+    """Log a request that was refused or whose outcome is unknown, with its job."""
     logger.bind(
         event="request_refused",
-        job=wanted.job_id,
-        kind=wanted.kind,
+        job=operation.job_id,
+        kind=operation.kind,
         queue=queue.name,
         outcome=str(reply.outcome),
         retry_after_ms=reply.retry_after_ms,
         after_ms=round(took_ms),
-    ).info("the caller was told to come back")
+    ).info("request refused; the caller is asked to retry")
