--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
@@ -23,7 +23,7 @@
 
 CLOCK_MODULES = (gateway_module, pending_request_module)
 
-NOT_OWNER = fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER)
+NOT_OWNER = fx.Reply(reply_to=None, outcome=fx.Outcome.NOT_OWNER)
 KINDS = ["submit", "cancel"]
 
 
@@ -159,7 +159,7 @@
         gateway.on_heartbeat(daemon.link, heartbeat(epoch))
     timers.run(3_000)
     assert not gateway.open_requests
-    assert not gateway._earlier_call_ids
+    assert not gateway._pending_by_earlier_call_id
 
 
 def test_owner_is_sent_the_remaining_time(daemon, timers):
