--- a/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
@@ -6,10 +6,10 @@
 from ..state import Job, JobState
 from .codec import decode_spec
 
-__all__ = ["STORE_AWAY_RETRY_MS", "Intake"]
+__all__ = ["STORE_UNAVAILABLE_RETRY_DELAY_MS", "Intake"]
 
 # Retry delay that callers are given while the store is unavailable.
-STORE_AWAY_RETRY_MS = 1_000
+STORE_UNAVAILABLE_RETRY_DELAY_MS = 1_000
 
 
 class Intake:
@@ -110,7 +110,9 @@
         """Refuse a request in place of a reply whose record could not be stored."""
         self._context.count("refusals", "store_away")
         self._lifecycle.reply(
-            reply.request_id, Outcome.REFUSED, retry_after_ms=STORE_AWAY_RETRY_MS
+            reply.request_id,
+            Outcome.REFUSED,
+            retry_after_ms=STORE_UNAVAILABLE_RETRY_DELAY_MS,
         )
 
     def _objective_ms(self, job):
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -9,7 +9,7 @@
 # Fences reserved for the incarnations of a worker under one owner.
 FENCES_PER_EPOCH = 1 << 20
 # A suspected worker that doesn't answer a poll for this long is silent.
-SILENT_MS = 100.0
+UNRESPONSIVE_AFTER_MS = 100.0
 # A worker this many times slower than the average counts as faulty.
 FAR_SLOWER_FACTOR = 4.0
 
@@ -69,11 +69,11 @@
     lease_sent_ms: float = 0.0
     extended_lease_until_ms: float = 0.0
     suspected_ms: float = 0.0
-    slow_until_ms: float = 0.0
+    slow_pause_until_ms: float = 0.0
     poll_due_ms: float = 0.0
     is_polling: bool = False
     is_quick_polling: bool = False
-    storing_ends: bool = False
+    is_storing_ends: bool = False
     heard_end: int = 0
     stored_end: int = 0
     acknowledged_end: int = 0
@@ -229,9 +229,9 @@
         """Return whether it has not answered since it, or its hall, fell silent."""
         return self.unanswered_in_row > 0 or self.last_answer_ms < self.suspected_ms
 
-    def is_silent(self, now_ms):
+    def is_unresponsive(self, now_ms):
         """Return whether it was polled as a suspect and did not answer in time."""
         if self.unanswered_in_row:
             return True
         is_suspected = self.last_answer_ms < self.suspected_ms
-        return is_suspected and now_ms - self.suspected_ms > SILENT_MS
+        return is_suspected and now_ms - self.suspected_ms > UNRESPONSIVE_AFTER_MS
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -11,10 +11,10 @@
 from thymefork_cells.workers.worker_poller import LEASE_MS
 
 from .command_transport import COMMAND_LATENCY_MS, CommandTransport
+from .harness_defaults import QUEUE, configuration, job_spec, worker_entries, worker_ids
 from .idle_cell_owners import PARTS, IdleCellOwners
 from .machine_faults import MachineFaults
 from .virtual_gangs import VirtualGangs
-from .virtual_site import QUEUE, configuration, job_spec, worker_entries, worker_ids
 from .virtual_worker import START_EPOCH_MS, VirtualWorker
 
 __all__ = ["SHRINK_KNOWN_MS", "START_EPOCH_MS", "Harness", "job_spec"]
--- a/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
@@ -109,12 +109,12 @@
         A delayed start command may still be carried out by the next incarnation.
         """
         sent = [run for run in worker.runs.values() if run.was_sent]
-        reported = [run for run in sent if run.listed_ms]
+        reported = [run for run in sent if run.reported_ms]
         # Evaluated while the runs beside them are still on the worker.
         carried = [
             (run, self._losses.loss_of(run, now_ms))
             for run in sent
-            if not run.listed_ms
+            if not run.reported_ms
         ]
         if reported:
             self._context.count("run_ends", "worker_restarted", len(reported))
--- a/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
@@ -81,7 +81,7 @@
         self._context.emit(StopRun(run=OrphanedRun(worker=worker, key=key)))
 
     def _update(self, run, row, clock_ms, now_ms):
-        run.listed_ms = now_ms
+        run.reported_ms = now_ms
         if run.state in (RunState.SENT, RunState.RECOVERED):
             self._confirm(run)
             run.confirmed_clock_ms = clock_ms
@@ -100,7 +100,7 @@
         if run.task.losses:
             self._losses.on_run_reported(run, now_ms)
         if run.first_percent < 0:
-            run.first_percent, run.first_listed_ms = row.percent, now_ms
+            run.first_percent, run.first_reported_ms = row.percent, now_ms
         if row.percent != run.percent:
             run.percent = row.percent
             run.percent_changed_ms = now_ms
@@ -126,7 +126,7 @@
         """Release the runs that the worker neither runs nor can start any more."""
         lost_runs = []
         for run in list(worker.runs.values()):
-            if run.listed_ms == now_ms:
+            if run.reported_ms == now_ms:
                 continue
             if run.is_suspect and run.suspected_ms <= answered_poll_ms:
                 self._lifecycle.stop(run, UNANSWERED_START_REASON, now_ms=now_ms)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
@@ -3,7 +3,7 @@
 from loguru import logger
 
 from thymefork_cells import effects as fx
-from thymefork_cells.jobs.intake import STORE_AWAY_RETRY_MS
+from thymefork_cells.jobs.intake import STORE_UNAVAILABLE_RETRY_DELAY_MS
 from thymefork_net import steady_ms
 
 __all__ = ["RequestHandler"]
@@ -92,6 +92,6 @@
             fx.Reply(
                 request_id=None,
                 outcome=fx.Outcome.REFUSED,
-                retry_after_ms=STORE_AWAY_RETRY_MS,
+                retry_after_ms=STORE_UNAVAILABLE_RETRY_DELAY_MS,
             )
         )
