--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -18,7 +18,7 @@
 class Worker:
     """Track a worker's capacity, clock, leases and contact.
 
-    `born_epoch_ms` identifies the incarnation, 0 while unknown; `number` counts the
+    `born_epoch_ms` identifies the incarnation, 0 while unknown; `incarnation_number` counts the
     incarnations that this owner tracked before, `tracked_since_ms` is when it began to
     track this one. `has_reported` is set once the worker has reported its runs under
     the present owner's fence; nothing is placed on it before.
@@ -41,7 +41,7 @@
 
     entry: object
     born_epoch_ms: int = 0
-    number: int = 0
+    incarnation_number: int = 0
     tracked_since_ms: float = 0.0
     is_over: bool = False
     held_cpu_milli: int = 0
@@ -74,7 +74,7 @@
     is_polling: bool = False
     is_quick_polling: bool = False
     is_storing_ends: bool = False
-    heard_end: int = 0
+    received_end: int = 0
     stored_end: int = 0
     acknowledged_end: int = 0
     outdated_reports_in_row: int = 0
@@ -121,7 +121,7 @@
         It rises with each incarnation, so that a new one rejects delayed commands to
         the one before: it does not know the runs that were stopped there.
         """
-        return epoch * FENCES_PER_EPOCH + self.number
+        return epoch * FENCES_PER_EPOCH + self.incarnation_number
 
     @property
     def runs_until_ms(self):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
@@ -207,7 +207,7 @@
     site.restart(site.workers[name], away_ms=1_000.0)
     site.load(4_000.0, small=SMALL_GAP_MS)
     again = site.cell.context.workers[name]
-    assert again.number
+    assert again.incarnation_number
     assert again.slowness == pytest.approx(before, rel=0.25)
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
@@ -24,11 +24,11 @@
         """Apply the run ends that are new; return whether there were any."""
         heard = False
         for row in report.ended:
-            if row.number <= worker.heard_end:
+            if row.number <= worker.received_end:
                 self._log_skipped(worker, row)
                 continue
             heard = True
-            worker.heard_end = row.number
+            worker.received_end = row.number
             worker.orphaned_runs.discard((row.task, row.run_id))
             run = worker.runs.get((row.task, row.run_id))
             if run is not None:
@@ -51,7 +51,7 @@
             worker=worker.worker_id,
             how=row.how,
             number=row.number,
-            heard_end=worker.heard_end,
+            received_end=worker.received_end,
         )
 
     def apply_running(self, worker, report, now_ms):
@@ -104,7 +104,7 @@
         if row.percent != run.percent:
             run.percent = row.percent
             run.percent_changed_ms = now_ms
-        run.tail_ms = row.load
+        run.tail_ms = row.tail_ms
 
     def _confirm(self, run):
         """Mark a run as confirmed by its worker, maybe by a newer incarnation."""
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
@@ -248,7 +248,7 @@
         if has_new_ends:
             worker.is_storing_ends = True
             self._context.journal.after(
-                EndsStored(worker=worker, last_end=worker.heard_end)
+                EndsStored(worker=worker, last_end=worker.received_end)
             )
         if worker.is_storing_ends:
             # It would answer at once, since its ends are not acknowledged yet.
@@ -282,6 +282,6 @@
         """Have the worker discard the run ends that are stored now."""
         self._unstored_ends.mark_stored(worker, last_end, now_ms=now_ms)
         worker.stored_end = max(worker.stored_end, last_end)
-        worker.is_storing_ends = worker.heard_end > worker.stored_end
+        worker.is_storing_ends = worker.received_end > worker.stored_end
         worker.poll_due_ms = now_ms
         self._changed[worker] = None
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
@@ -72,8 +72,8 @@
             line.bind(reason="the cell was lost before").info(
                 "job not stored: ownership lost"
             )
-            respond = reply.request_id
-            respond(fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER))
+            respond = reply.reply_to
+            respond(fx.Reply(reply_to=None, outcome=fx.Outcome.NOT_OWNER))
 
     def _is_store_unavailable(self):
         return self._pipeline.is_store_unavailable or not self._ownership.is_certain()
@@ -90,7 +90,7 @@
         self._metrics.count("refusals", "store_away")
         respond(
             fx.Reply(
-                request_id=None,
+                reply_to=None,
                 outcome=fx.Outcome.REFUSED,
                 retry_after_ms=STORE_UNAVAILABLE_RETRY_DELAY_MS,
             )
