--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_call.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_call.py
@@ -9,10 +9,10 @@
 class AppendCall:
     """Hold when a call was sent, and the state of its batch at that time.
 
-    `follows` is true if all earlier batches were known to be stored, `is_repeat` if
+    `was_head` is true if all earlier batches were known to be stored, `is_repeat` if
     another call for the batch had been sent before.
     """
 
     sent_ms: float
-    follows: bool
+    was_head: bool
     is_repeat: bool
