--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
@@ -54,5 +54,5 @@
         self._borrower.on_grant(grant, now_ms)
 
     @on_message.register
-    def _on_held_report(self, hold: ReportHeldParts, *, now_ms):
-        self._lender.on_held_report(hold, now_ms)
+    def _on_held_report(self, report: ReportHeldParts, *, now_ms):
+        self._lender.on_held_report(report, now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/parts_ledger.py
@@ -183,7 +183,7 @@
         self._update_borrowed(name)
 
     def return_parts(self, name, lender, parts):
-        """Subtract returned parts from a loan."""
+        """Subtract returned parts from those borrowed from a lender."""
         row = self._borrowed[name][lender]
         row.parts = row.parts.minus(parts)
         self._update_borrowed(name)
--- a/packages/thymefork-cells/src/thymefork_cells/effects/replies.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/replies.py
@@ -24,7 +24,11 @@
 
 @frozen(kw_only=True, eq=False)
 class Reply:
-    """Reply to a request; `retry_after_ms` is 0 if unknown."""
+    """Reply to a request.
+
+    `reply_to` is the callback, or the tag of the requester, that the reply is for;
+    `retry_after_ms` is 0 if unknown.
+    """
 
     reply_to: object
     outcome: Outcome
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/image_durations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/image_durations.py
@@ -86,8 +86,8 @@
         """Return the expected remaining time of a run."""
         total_ms = self._pace_total_ms(run)
         if total_ms is not None:
-            at_listing_ms = total_ms * (100 - run.percent) / 100.0
-            return max(0.0, at_listing_ms - (now_ms - run.reported_ms))
+            left_at_report_ms = total_ms * (100 - run.percent) / 100.0
+            return max(0.0, left_at_report_ms - (now_ms - run.reported_ms))
         elapsed_ms = max(0.0, now_ms - run.began_ms) if run.began_ms else 0.0
         return max(0.0, self.expected_ms(run.step, run.worker) - elapsed_ms)
 
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/worker_speeds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/worker_speeds.py
@@ -27,10 +27,10 @@
 RESTART_VARIANCE = 0.03
 # Variance of speeds that a previous owner announced.
 INHERITED_VARIANCE = 0.03
-# Observations beyond the first number of standard deviations get a lower weight. Those
-# that took too long, beyond the second, are outliers: a long tail or a temporarily slow
-# worker.
+# Observations that deviate by more standard deviations than this get a lower weight.
 REDUCED_WEIGHT_DEVIATIONS = 2.0
+# Runs that are longer by more standard deviations than this are outliers: a long tail
+# or a temporarily slow worker.
 OUTLIER_DEVIATIONS = 3.0
 OUTLIER_WEIGHT = 0.01
 # A machine that deviates for this many runs in a row is learned anew. A slower one also
@@ -40,11 +40,14 @@
 CHANGED_AFTER_MS = 15_000.0
 # A machine's speed is known while its variance is at most this.
 KNOWN_VARIANCE = 0.06
-# Workers become heterogeneous once at least two, and the first share, of the known ones
-# deviate notably from the median, and homogeneous again below the second share.
+# Smallest deviation from the median that is notable.
 NOTABLE = log(1.3)
+# A notable deviation also exceeds this many standard deviations of the estimate.
 NOTABLE_DEVIATIONS = 3.0
+# Workers become heterogeneous once this share of the known ones, and at least two,
+# deviate notably from the median.
 HETEROGENEOUS_SHARE = 0.1
+# They become homogeneous again below this share.
 HOMOGENEOUS_SHARE = 0.04
 # Slowness is rounded to powers of this factor.
 SLOWNESS_QUANTUM = log(1.1)
@@ -93,19 +96,19 @@
 
     def learn(self, *, worker, step_name, step, took_ms, now_ms):
         """Learn from a successful run; return whether it was an outlier."""
-        known = self._machine_state(worker.machine, worker.born_epoch_ms, now_ms)
+        state = self._machine_state(worker.machine, worker.born_epoch_ms, now_ms)
         image_estimate = self._image_estimate(step, now_ms)
         step_estimate = self._step_estimate(step_name, step, image_estimate, now_ms)
         took = log(max(1.0, took_ms))
-        residual = took - step_estimate.mean - known.estimate.mean
-        total = known.estimate.variance + step_estimate.variance + RUN_VARIANCE
+        residual = took - step_estimate.mean - state.estimate.mean
+        total = state.estimate.variance + step_estimate.variance + RUN_VARIANCE
         deviations = abs(residual) / sqrt(total)
         is_outlier = residual > 0.0 and deviations > OUTLIER_DEVIATIONS
         weight = min(1.0, REDUCED_WEIGHT_DEVIATIONS / max(deviations, 1e-9))
         if is_outlier:
             weight = OUTLIER_WEIGHT
-        residual_of_image = took - image_estimate.mean - known.estimate.mean
-        known.estimate.update(residual, total_variance=total, weight=weight)
+        residual_of_image = took - image_estimate.mean - state.estimate.mean
+        state.estimate.update(residual, total_variance=total, weight=weight)
         step_estimate.update(residual, total_variance=total, weight=weight)
         image_estimate.update(
             residual_of_image,
@@ -113,22 +116,22 @@
             weight=weight,
         )
         is_deviating = deviations > REDUCED_WEIGHT_DEVIATIONS
-        self._detect_change(known, residual if is_deviating else 0.0, now_ms)
+        self._detect_change(state, residual if is_deviating else 0.0, now_ms)
         return is_outlier
 
     def _machine_state(self, machine, born_epoch_ms, now_ms):
-        known = self._machines.pop(machine, None)
-        if known is None:
-            known = _Machine(estimate=_new_estimate(0.0, MACHINE_VARIANCE, now_ms))
-            known.born_epoch_ms = born_epoch_ms
-        self._machines[machine] = known
+        state = self._machines.pop(machine, None)
+        if state is None:
+            state = _Machine(estimate=_new_estimate(0.0, MACHINE_VARIANCE, now_ms))
+            state.born_epoch_ms = born_epoch_ms
+        self._machines[machine] = state
         _drop_oldest(self._machines, MAX_MACHINES)
-        known.estimate.add_drift(now_ms, MACHINE_DRIFT_PER_S)
-        if born_epoch_ms != known.born_epoch_ms:
-            if known.born_epoch_ms:
-                known.estimate.add_variance(RESTART_VARIANCE)
-            known.born_epoch_ms = born_epoch_ms
-        return known
+        state.estimate.add_drift(now_ms, MACHINE_DRIFT_PER_S)
+        if born_epoch_ms != state.born_epoch_ms:
+            if state.born_epoch_ms:
+                state.estimate.add_variance(RESTART_VARIANCE)
+            state.born_epoch_ms = born_epoch_ms
+        return state
 
     def _image_estimate(self, step, now_ms):
         """Return the estimated duration of an image."""
@@ -191,15 +194,15 @@
 
     def log_slowness(self, machine):
         """Return the logarithm of a machine's slowness, 0 if unknown."""
-        known = self._machines.get(machine)
-        return known.estimate.mean if known is not None else 0.0
+        state = self._machines.get(machine)
+        return state.estimate.mean if state is not None else 0.0
 
     def known_log_slowness(self, machine):
         """Return the logarithm of a machine's slowness, None while it is uncertain."""
-        known = self._machines.get(machine)
-        if known is None or known.estimate.variance > KNOWN_VARIANCE:
+        state = self._machines.get(machine)
+        if state is None or state.estimate.variance > KNOWN_VARIANCE:
             return None
-        return known.estimate.mean
+        return state.estimate.mean
 
     def slowness(self, machine):
         """Return the factor by which runs take longer than on an average machine.
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
@@ -155,12 +155,16 @@
         """
         self.is_urgent = True
         number = batch.last_number
-        again = {
+        requeued_changes = {
             job.job_id: _PendingJob(job=job, number=number)
             for job, _ in batch.job_states
         }
-        later = {key: row for key, row in self._changes.items() if key not in again}
-        self._changes = again | later
+        newer_changes = {
+            key: row
+            for key, row in self._changes.items()
+            if key not in requeued_changes
+        }
+        self._changes = requeued_changes | newer_changes
         self._other_records = batch.other_records | self._other_records
         dropped = [
             key
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/lifecycle.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/lifecycle.py
@@ -5,7 +5,7 @@
 
 __all__ = ["Lifecycle"]
 
-# Workers asked about in the advice call that callers expect before each step.
+# Number of workers per advice call that a job's measured objective allows for.
 WORKERS_PER_ADVICE_CALL = 30
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/placement/placement_log.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placement_log.py
@@ -34,20 +34,20 @@
             workers=len({worker.worker_id for _, worker in starts}),
             waited_ms=round(waited_ms),
             account=step.job.account_name,
-            **self._turn_fields(step, len(starts), now_ms),
+            **self._count_starts_by_share(step, len(starts), now_ms),
             configuration=self._context.configuration.version,
         )
 
-    def _turn_fields(self, step, count, now_ms):
-        """Count starts by why a step was chosen; return the log fields for it."""
+    def _count_starts_by_share(self, step, count, now_ms):
+        """Count starts by their account's job rate share; return the log fields."""
         name = step.job.account_name
         if not self._dominant_shares.tracks(name):
             return {}
-        turn = "beyond_share" if step.job.is_beyond_share else "within_share"
+        reason = "beyond_share" if step.job.is_beyond_share else "within_share"
         if self._dominant_shares.is_starved(name, now_ms):
-            turn = "stood_still"
-        self._context.count("starts_by_share", turn, count)
-        return {"turn": turn, "account_uses": self._account_uses(step)}
+            reason = "stood_still"
+        self._context.count("starts_by_share", reason, count)
+        return {"turn": reason, "account_uses": self._account_uses(step)}
 
     def _account_uses(self, step):
         """Return the recent dominant share of a step's account."""
--- a/packages/thymefork-cells/src/thymefork_cells/placement/reservations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/reservations.py
@@ -127,12 +127,12 @@
         if not times:
             return
         next_ms = min(times.values())
-        is_under_way = previous is not None and previous.waiting == len(step.waiting)
+        is_unchanged = previous is not None and previous.waiting == len(step.waiting)
         reservation = _Reservation(
             step=step,
             free_at_ms=times,
             waiting=len(step.waiting),
-            expected_start_ms=previous.expected_start_ms if is_under_way else next_ms,
+            expected_start_ms=previous.expected_start_ms if is_unchanged else next_ms,
         )
         self._by_step[step] = reservation
         self._by_worker |= dict.fromkeys(times, reservation)
--- a/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_scorer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_speed_scorer.py
@@ -50,7 +50,7 @@
     assert rate(worker(0, SLOW)) < rate(worker(1, FAST))
 
 
-def test_metric_labels_by_worker_speed():
+def test_metric_labels_distinguish_tight_from_slack_objectives():
     workers = [worker(0, SLOW), worker(1, FAST)]
     tight = make_scorer(1_400.0).metric_labels(workers)
     assert tight == {SLOW: "tight_on_slow", FAST: "tight_on_fast"}
--- a/packages/thymefork-cells/src/thymefork_cells/placement/worker_ranking.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/worker_ranking.py
@@ -39,13 +39,18 @@
     whole workers free in others, and other tasks the emptiest.
     """
     sign = -1 if spec.accelerators else 1
-    copies = {}
+    capacity_by_hall = {}
     for worker in workers:
         hall = worker.entry.hall
-        copies[hall] = copies.get(hall, 0) + task_capacity(worker, spec)
+        capacity_by_hall[hall] = capacity_by_hall.get(hall, 0) + task_capacity(
+            worker, spec
+        )
     return max(
-        copies,
-        key=lambda hall: (min(copies[hall], wanted), sign * copies[hall]),
+        capacity_by_hall,
+        key=lambda hall: (
+            min(capacity_by_hall[hall], wanted),
+            sign * capacity_by_hall[hall],
+        ),
         default="",
     )
 
--- a/packages/thymefork-cells/src/thymefork_cells/reports.py
+++ b/packages/thymefork-cells/src/thymefork_cells/reports.py
@@ -21,7 +21,11 @@
 
 @frozen(kw_only=True)
 class EndRow:
-    """An ended run in a worker's report, with its end number."""
+    """An ended run in a worker's report, with its end number.
+
+    `how` is how the run ended: `done`, `failed`, `stopped`, `lapsed` (its lease
+    expired), `alone` (its gang was incomplete) or `broken` (another gang member ended).
+    """
 
     number: int
     task: str
--- a/packages/thymefork-cells/src/thymefork_cells/state/advice_slots.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/advice_slots.py
@@ -13,7 +13,8 @@
 class AdviceSlots:
     """Count the instances that can make a call now.
 
-    `free_slots` counts all of them, `free_long_call_slots` those that also accept long calls.
+    `free_slots` counts all of them, `free_long_call_slots` those that also accept long
+    calls.
     """
 
     free_slots: int
--- a/packages/thymefork-cells/src/thymefork_cells/state/job.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/job.py
@@ -118,7 +118,7 @@
 
     @property
     def critical_path_step_count(self):
-        """Return the length of the longest chain of dependent steps."""
+        """Return the number of steps on the longest path of dependent steps."""
         lengths = []
         for step in self.spec.steps:
             before = max((lengths[earlier] for earlier in step.after), default=0)
--- a/packages/thymefork-cells/src/thymefork_cells/state/run.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/run.py
@@ -33,8 +33,9 @@
     `is_carried_over`, and its `earlier_loss`, if any, counts against the task unless
     the worker reports it. `is_speed_learned` is set once the run's progress was used to
     learn the worker's speed. For a run that was `started_by_previous_owner`, `began_ms`
-    is when this owner first saw it. `gang_slowness` is that of the gang's slowest
-    worker, 0 outside of gangs.
+    is when this owner first saw it. `reported_ms` is when a report last contained the
+    run, `first_reported_ms` when one first did. `gang_slowness` is that of the gang's
+    slowest worker, 0 outside of gangs.
 
     Units: `*_ms` on the steady clock, `*_clock_ms` on the worker's clock.
     """
--- a/packages/thymefork-cells/src/thymefork_cells/state/step_state.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/step_state.py
@@ -20,6 +20,13 @@
 class StepState:
     """Track the tasks of a step in one occurrence of its job.
 
+    `tickets` maps worker ids to tickets; `allowed` and `denied` are the ids of workers
+    whose use the advice service has allowed or denied, `allowed` is None before the
+    first answer. `denials_cleared_ms` is when `denied` was last cleared for new calls,
+    `denial_reset_count` how often it was. `advice_asked` is set while a call is in
+    flight, `advice_wanted_ms` is when a call was first wanted, 0 if none is.
+    `gang_failed_run` is the number of the last failed gang run.
+
     Units: `*_ms` on the steady clock.
     """
 
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -8,7 +8,7 @@
 
 # Fences reserved for the incarnations of a worker under one owner.
 FENCES_PER_EPOCH = 1 << 20
-# A suspected worker that doesn't answer a poll for this long is silent.
+# A suspect worker that does not answer a poll for this long is unresponsive.
 UNRESPONSIVE_AFTER_MS = 100.0
 # A worker this many times slower than the average counts as faulty.
 FAR_SLOWER_FACTOR = 4.0
@@ -18,10 +18,10 @@
 class Worker:
     """Track a worker's capacity, clock, leases and contact.
 
-    `born_epoch_ms` identifies the incarnation, 0 while unknown; `incarnation_number` counts the
-    incarnations that this owner tracked before, `tracked_since_ms` is when it began to
-    track this one. `has_reported` is set once the worker has reported its runs under
-    the present owner's fence; nothing is placed on it before.
+    `born_epoch_ms` identifies the incarnation, 0 while unknown; `incarnation_number`
+    counts the incarnations that this owner tracked before, `tracked_since_ms` is when
+    it began to track this one. `has_reported` is set once the worker has reported its
+    runs under the present owner's fence; nothing is placed on it before.
 
     `may_run_until_ms` bounds the leases of this owner, `inherited_until_ms` those of
     the previous one, `extended_lease_until_ms` any lease sent to an earlier
@@ -31,7 +31,9 @@
     `answered_poll_ms` is when the latest answered poll was sent: a paused process may
     read the answer much later. `unanswered_since_ms` is when the first of the latest
     unanswered polls timed out, 0 if the last was answered. `unlisted_since_ms` is when
-    the worker left the platform's list. `outdated_reports_in_row` counts reports of an
+    the worker left the platform's list. `received_end`, `stored_end` and
+    `acknowledged_end` are the highest run end numbers that were received, stored, and
+    confirmed to the worker. `outdated_reports_in_row` counts reports of an
     earlier incarnation. `stopped` holds the runs whose stop was answered and whose end
     was not reported yet.
 
@@ -186,20 +188,20 @@
         free = (self.free_cpu_milli, self.free_memory_mb, self.free_accelerators)
         return min(free) < 0
 
-    def has_capacity(self, step):
-        """Return whether one more task of the step fits."""
+    def has_capacity(self, spec):
+        """Return whether one more task of a step with this spec fits."""
         return (
-            step.reserved_cpu_milli <= self.free_cpu_milli
-            and step.memory_mb <= self.free_memory_mb
-            and step.accelerators <= self.free_accelerators
+            spec.reserved_cpu_milli <= self.free_cpu_milli
+            and spec.memory_mb <= self.free_memory_mb
+            and spec.accelerators <= self.free_accelerators
         )
 
-    def fits_when_empty(self, step):
-        """Return whether a task of the step fits on the empty worker."""
+    def fits_when_empty(self, spec):
+        """Return whether a task of a step with this spec fits on the empty worker."""
         return (
-            step.reserved_cpu_milli <= self.entry.cpu_milli
-            and step.memory_mb <= self.entry.memory_mb
-            and step.accelerators <= self.entry.accelerators
+            spec.reserved_cpu_milli <= self.entry.cpu_milli
+            and spec.memory_mb <= self.entry.memory_mb
+            and spec.accelerators <= self.entry.accelerators
         )
 
     @property
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker_health.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker_health.py
@@ -1,4 +1,4 @@
-"""Quarantine of workers on which runs fail."""
+"""Pause workers on which runs fail."""
 
 from attrs import define
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -40,7 +40,9 @@
 
     `append_latency_ms()` and `cycle_interval_ms()` return the duration of an append and
     the time to the next cycle. `advisers` is the number of instances that make advice
-    calls, one at a time each, None if unlimited.
+    calls, one at a time each, None if unlimited. `is_allowed(step, worker_id)` returns
+    whether the advice service gives a ticket. `advice_requests` lists the step name and
+    the worker ids of each call.
 
     `crashes_after_ms(task)` returns how long after its start a task crashes its worker,
     or None. The machine returns after `return_delay_ms`, as another worker or, with
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_accounts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_accounts.py
@@ -235,8 +235,8 @@
     for number in range(100):
         harness.submit(f"{number:016x}", job_spec(WIDE), account_name="a")
     harness.run(300)
-    advice_requests = {step for step, _ in harness.advice_requests}
-    assert 0 < len(advice_requests) <= 2 + MAX_BLOCKED_STEPS
+    requested_steps = {step for step, _ in harness.advice_requests}
+    assert 0 < len(requested_steps) <= 2 + MAX_BLOCKED_STEPS
 
 
 def test_no_capacity_is_reserved_for_step_blocked_by_limit(make_harness):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_at_scale.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_at_scale.py
@@ -46,9 +46,9 @@
 
 
 def test_calls_name_few_workers(loaded):
-    advice_requests = [len(worker_ids) for _, worker_ids in loaded.advice_requests]
-    assert len(advice_requests) <= 2 * JOBS
-    assert max(advice_requests) <= 20
+    worker_counts = [len(worker_ids) for _, worker_ids in loaded.advice_requests]
+    assert len(worker_counts) <= 2 * JOBS
+    assert max(worker_counts) <= 20
 
 
 def test_steps_spread_over_many_workers(loaded):
@@ -109,12 +109,12 @@
 def test_number_of_workers_doubles_with_each_denial():
     workers = workers_of(*[16_000] * 270)
     step = step_of()
-    advice_requests = []
+    worker_counts = []
     for step.denials_in_row in range(5):
         chosen = choose(step, workers, 6, approval_rate=0.7, max_workers=100)
-        advice_requests.append(len(chosen))
-    assert advice_requests == sorted(advice_requests)
-    assert advice_requests[-1] == 100
+        worker_counts.append(len(chosen))
+    assert worker_counts == sorted(worker_counts)
+    assert worker_counts[-1] == 100
 
 
 def test_concurrent_steps_ask_about_different_workers():
@@ -203,11 +203,11 @@
         worker.work_ms = 60_000.0
     running = start_long_running(harness)
     assert len(running) == 4
-    asked_before = len(harness.advice_requests)
+    request_count_before = len(harness.advice_requests)
     busy_ids = {worker.worker_id for worker in running.values()}
 
     def is_allowed(step, worker_id):
-        first = harness.advice_requests[asked_before][1]
+        first = harness.advice_requests[request_count_before][1]
         return worker_id in busy_ids or worker_id not in first
 
     harness.is_allowed = is_allowed
@@ -241,7 +241,7 @@
     """Guards against many small calls under a strict policy."""
     workers = workers_of(*[16_000] * 270)
     step = step_of()
-    advice_requests = [
+    worker_counts = [
         len(
             choose(
                 step,
@@ -255,7 +255,7 @@
         for waited_ms in (0.0, 600.0, 1_100.0, 1_600.0, 2_600.0)
     ]
     assert (
-        advice_requests[0] == 8
-        and advice_requests == sorted(advice_requests)
-        and advice_requests[-1] == 100
+        worker_counts[0] == 8
+        and worker_counts == sorted(worker_counts)
+        and worker_counts[-1] == 100
     )
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_cancelled_runs.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_cancelled_runs.py
@@ -210,8 +210,16 @@
         harness.cell.intake.cancel(job_id, job_id, now_ms=harness.now)
     faults.end()
     harness.run(16_000)  # covers commands that are delayed by 12 s
-    gone = {job_id for job_id in cancelled if job_id in harness.cell.context.jobs}
-    assert gone
-    assert not [task for task, _ in harness.running() if task.split(".")[0] in gone]
-    assert not [run for job_id in gone for run in harness.job(job_id).runs]
+    tracked_cancelled_ids = {
+        job_id for job_id in cancelled if job_id in harness.cell.context.jobs
+    }
+    assert tracked_cancelled_ids
+    assert not [
+        task
+        for task, _ in harness.running()
+        if task.split(".")[0] in tracked_cancelled_ids
+    ]
+    assert not [
+        run for job_id in tracked_cancelled_ids for run in harness.job(job_id).runs
+    ]
     assert not harness.cell.context.pending_stops
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_capacity_changes.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_capacity_changes.py
@@ -131,7 +131,7 @@
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
-def test_task_runs_on_worker_that_still_fits(make_harness):
+def test_large_task_runs_on_worker_that_did_not_shrink(make_harness):
     harness = make_harness(workers=2)
     harness.resize("w0", 2_000)
     harness.submit(JOB, job_spec({"count": 3, "cpu_milli": 5_000}))
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_crash_isolation.py
@@ -209,13 +209,13 @@
     harness.submit(INNOCENT, job_spec({"count": 1, "cpu_milli": 500}))
     for _ in range(6):
         harness.run(1_000)
-        is_unreachable = next(
+        unreachable = next(
             worker for worker in harness.workers.values() if worker.running
         )
-        is_unreachable.is_unreachable = True
+        unreachable.is_unreachable = True
         harness.run(3_600)
         assert [len(found) for found in losses(harness)] == [1]
-        is_unreachable.is_unreachable = False
+        unreachable.is_unreachable = False
         harness.run(600)
         assert not losses(harness)
     assert harness.job(INNOCENT).visible_state is JobState.RUNNING
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
@@ -107,7 +107,7 @@
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
 
-def test_task_without_progress_reports_succeeds(make_harness):
+def test_task_with_constant_progress_succeeds(make_harness):
     # Guards against stopping a task again and again because its progress is constant.
     harness = make_harness(workers=2)
     for worker in harness.workers.values():
@@ -257,10 +257,10 @@
 
 def test_run_continues_if_only_its_start_answer_is_lost(harness):
     """Guards against stopping a healthy run because its start was not answered."""
-    harness.is_start_answer_lost, muted = first_start()
+    harness.is_start_answer_lost, unanswered = first_start()
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(2_500)
-    assert muted
+    assert unanswered
     assert len(harness.starts_of(f"{JOB}.0.0.0")) == 1
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
@@ -269,10 +269,10 @@
     make_harness,
 ):
     harness = make_harness(workers=1)
-    harness.omits_worker_clock, blurred = first_start()
+    harness.omits_worker_clock, without_clock = first_start()
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(400)
-    assert blurred
+    assert without_clock
     harness.workers["w0"].running.clear()
     harness.run(4_000)
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
--- a/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
@@ -23,7 +23,7 @@
 
 
 class Refusal(StrEnum):
-    """Name why a worker did not carry out a command."""
+    """Reason for which a worker did not carry out a command."""
 
     NONE = ""
     FENCED = "fenced"  # the worker has accepted a newer owner's fence
@@ -209,9 +209,14 @@
 
     def log_overdue_stops(self, now_ms):
         """Log once each run that still exists long after its stop was due."""
-        owed_before_ms = now_ms - STOP_OVERDUE_MS - self._context.bounds.stop_timeout_ms
+        pending_before_ms = (
+            now_ms - STOP_OVERDUE_MS - self._context.bounds.stop_timeout_ms
+        )
         for run in self._unresolved_stops():
-            if run.stop_pending_since_ms < owed_before_ms and not run.stop_is_overdue:
+            if (
+                run.stop_pending_since_ms < pending_before_ms
+                and not run.stop_is_overdue
+            ):
                 run.stop_is_overdue = True
                 self._log_overdue(run, now_ms)
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/extended_leases.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/extended_leases.py
@@ -23,13 +23,13 @@
         self._context = context
         self._stored_worker_ids = set()
 
-    def on_next_incarnation(self, worker, successor, now_ms):
+    def on_next_incarnation(self, worker, next_worker, now_ms):
         """Assume an extended lease if the next incarnation may have taken a lease."""
         if (
             worker.lease_sent_ms
             and now_ms - worker.lease_sent_ms < MAX_COMMAND_DELAY_MS
         ):
-            self.assume_lease(successor, now_ms)
+            self.assume_lease(next_worker, now_ms)
 
     def assume_lease(self, worker, now_ms):
         """Assume that a worker has an extended lease, taken at the latest by now."""
--- a/packages/thymefork-cells/src/thymefork_cells/workers/gang_monitor.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/gang_monitor.py
@@ -6,7 +6,7 @@
 
 # Allows for one repeated stop command.
 STOP_ALLOWANCE_MS = 500.0
-# Fraction of its wait that a gang has at least to be confirmed.
+# Minimum fraction of `gang_wait_ms` for which a gang may wait to be confirmed.
 MIN_WAIT_FRACTION = 0.25
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
@@ -17,7 +17,7 @@
 
 
 class IncarnationMatch(Enum):
-    """Name how an incarnation relates to the tracked one."""
+    """Relation of an incarnation to the tracked one."""
 
     SAME = auto()
     NEXT = auto()
@@ -32,7 +32,8 @@
         self._lifecycle = lifecycle
         self._losses = losses
         self._extended_leases = extended_leases
-        self._numbers = {}  # (start, number) of the latest incarnation by worker id
+        # (start time, number) of the latest incarnation by worker id
+        self._numbers = {}
 
     def incarnation_number(self, worker_id, born_epoch_ms):
         """Return the number of a worker's incarnation, counted from 0 by this owner.
@@ -51,9 +52,9 @@
         return incarnation_number
 
     def match(self, worker, born_epoch_ms):
-        """Return how the incarnation with this start relates to the tracked one."""
+        """Return how the incarnation that began then relates to the tracked one."""
         if not worker.born_epoch_ms and not worker.answered_poll_ms:
-            worker.born_epoch_ms = born_epoch_ms  # first known start
+            worker.born_epoch_ms = born_epoch_ms  # first known start time
             worker.incarnation_number = self.incarnation_number(
                 worker.worker_id, born_epoch_ms
             )
@@ -66,7 +67,7 @@
     def match_entry(self, worker, entry):
         """Return which incarnation an entry describes.
 
-        Entries may lack a start, which then comes with the worker's reports.
+        Entries may lack a start time, which then comes with the worker's reports.
         """
         if not entry.born_epoch_ms and not worker.entry.born_epoch_ms:
             return IncarnationMatch.SAME
@@ -76,7 +77,7 @@
         """Return which incarnation a report comes from.
 
         After the worker's wall clock was set back, a new incarnation has an earlier
-        start. It is accepted once nothing can run there any more.
+        start time. It is accepted once nothing can run there any more.
         """
         relation = self.match(worker, born_epoch_ms)
         if relation is not IncarnationMatch.EARLIER or not born_epoch_ms or worker.runs:
@@ -95,19 +96,19 @@
             worker=worker.worker_id,
             born_epoch_ms=born_epoch_ms,
             was_born_epoch_ms=worker.born_epoch_ms,
-            received_end=worker.received_end,
+            heard_end=worker.received_end,
             runs=len(worker.runs),
         )
         worker.is_over = True
-        successor = self._successor(worker, entry, born_epoch_ms, now_ms)
-        self._context.workers[worker.worker_id] = successor
+        next_worker = self._next_worker(worker, entry, born_epoch_ms, now_ms)
+        self._context.workers[worker.worker_id] = next_worker
         self._losses.on_incarnation_over(worker, now_ms=now_ms)
         self._discard_tickets(worker.worker_id)
-        self._end_runs(worker, successor, now_ms)
+        self._end_runs(worker, next_worker, now_ms)
         self._context.needs_plan = True
-        return successor
+        return next_worker
 
-    def _end_runs(self, worker, successor, now_ms):
+    def _end_runs(self, worker, next_worker, now_ms):
         """Release the runs that were reported; move the others to the next incarnation.
 
         A delayed start command may still be carried out by the next incarnation.
@@ -126,14 +127,14 @@
                 worker, reported, is_certain=True, now_ms=now_ms
             )
         for run, loss in carried:
-            self._carry_over(run, successor, loss)
+            self._carry_over(run, next_worker, loss)
 
-    def _successor(self, worker, entry, born_epoch_ms, now_ms):
+    def _next_worker(self, worker, entry, born_epoch_ms, now_ms):
         """Return the next incarnation, of which nothing is known yet.
 
         It may have taken a lease that was sent to the one before.
         """
-        successor = Worker(
+        next_worker = Worker(
             entry=entry,
             born_epoch_ms=born_epoch_ms,
             incarnation_number=self.incarnation_number(worker.worker_id, born_epoch_ms),
@@ -144,8 +145,8 @@
             poll_due_ms=now_ms,
             slowness=worker.slowness,
         )
-        self._extended_leases.on_next_incarnation(worker, successor, now_ms)
-        return successor
+        self._extended_leases.on_next_incarnation(worker, next_worker, now_ms)
+        return next_worker
 
     def placeholder_entry(self, worker):
         """Return an entry for an incarnation whose own entry was not read yet.
@@ -154,7 +155,7 @@
         """
         return evolve(worker.entry, is_lapsed=True, draining=False, leaves_in_ms=0)
 
-    def _carry_over(self, run, successor, loss):
+    def _carry_over(self, run, next_worker, loss):
         """Track a run on the next incarnation until that reports whether it runs."""
         task = run.task
         run.worker.remove(run)
@@ -163,7 +164,7 @@
         run.successor = Run(
             task=task,
             run_id=run.run_id,
-            worker=successor,
+            worker=next_worker,
             state=RunState.RECOVERED,
             born_epoch_ms=run.born_epoch_ms,
             stop_reason=run.stop_reason,
@@ -173,7 +174,7 @@
             gang_slowness=run.gang_slowness,
         )
         task.runs[task.runs.index(run)] = run.successor
-        successor.add(run.successor)
+        next_worker.add(run.successor)
 
     def _discard_tickets(self, worker_id):
         """Discard the tickets for a worker: they are valid for one incarnation."""
--- a/packages/thymefork-cells/src/thymefork_cells/workers/pacing.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/pacing.py
@@ -6,9 +6,10 @@
 
 __all__ = ["PaceController"]
 
-# The pace goes down a step above the first ratio of a serving run's tail latency to its
-# target, and up a step below the second.
+# Above this ratio of a serving run's tail latency to its target, the pace goes down a
+# step.
 PACE_DOWN_TAIL_RATIO = 0.75
+# Below this ratio it goes up a step.
 PACE_UP_TAIL_RATIO = 0.45
 PACE_STEPS = (100, 50, 20, 0)
 # Delay before a pace command that failed or got no answer is sent again.
--- a/packages/thymefork-cells/src/thymefork_cells/workers/quorum.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/quorum.py
@@ -39,11 +39,13 @@
         entries expire while another owner may still reach them.
         """
         workers = self._context.workers.values()
-        heard = sum(
+        recent_answer_count = sum(
             worker.answered_poll_ms > now_ms - QUORUM_ANSWER_MAX_AGE_MS
             for worker in workers
         )
-        return heard > 0 and heard >= QUORUM_FRACTION * len(workers)
+        return recent_answer_count > 0 and recent_answer_count >= QUORUM_FRACTION * len(
+            workers
+        )
 
     def bound_inherited_leases(self, now_ms):
         """Bound the leases of the previous owner on silent workers."""
@@ -57,7 +59,7 @@
             worker.inherited_until_ms = bound_ms
 
     def check(self, now_ms):
-        """Shorten that bound once a quorum has accepted this owner's fence.
+        """Shorten the bound on inherited leases once a quorum accepts the new fence.
 
         The previous owner renews leases while it is a member, and after that while it
         has a quorum, which ends now.
--- a/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
@@ -22,12 +22,12 @@
 
     def apply_ends(self, worker, report, now_ms):
         """Apply the run ends that are new; return whether there were any."""
-        heard = False
+        has_new = False
         for row in report.ended:
             if row.number <= worker.received_end:
                 self._log_skipped(worker, row)
                 continue
-            heard = True
+            has_new = True
             worker.received_end = row.number
             worker.orphaned_runs.discard((row.task, row.run_id))
             run = worker.runs.get((row.task, row.run_id))
@@ -36,7 +36,7 @@
                 self._lifecycle.end(run, row.how, row.checkpoint, now_ms=now_ms)
             else:
                 self._lifecycle.end_late(row.task, row.run_id, row.how, now_ms=now_ms)
-        return heard
+        return has_new
 
     def _log_skipped(self, worker, row):
         """Log a skipped end whose run is still tracked."""
@@ -51,21 +51,21 @@
             worker=worker.worker_id,
             how=row.how,
             number=row.number,
-            received_end=worker.received_end,
+            heard_end=worker.received_end,
         )
 
     def apply_running(self, worker, report, now_ms):
         """Apply the runs that a worker reports; stop those that are not tracked."""
-        listed = set()
+        reported_keys = set()
         for row in report.running:
             key = (row.task, row.run_id)
-            listed.add(key)
+            reported_keys.add(key)
             run = worker.runs.get(key)
             if run is None:
                 self._stop_orphaned(worker, row)
                 continue
             self._update(run, row, report.clock_ms, now_ms)
-        worker.orphaned_runs &= listed
+        worker.orphaned_runs &= reported_keys
 
     def _stop_orphaned(self, worker, row):
         key = (row.task, row.run_id)
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_losses.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_losses.py
@@ -165,7 +165,7 @@
             after_ms=[loss.after_ms for loss in losses],
             crashes=sum(loss.is_certain for loss in losses),
         )
-        reason = f"{len(losses)} workers were lost while they ran {task.name}"
+        reason = f"{len(losses)} workers were lost under {task.name}"
         self._lifecycle.finish(job, JobState.FAILED, reason, now_ms=now_ms)
 
     def _log_losses(self, worker, runs, is_certain, now_ms):
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -161,13 +161,13 @@
         worker.is_listed = False
 
     def expire_leases(self, now_ms):
-        """Release the runs of silent workers whose leases have expired."""
+        """Release the runs of workers without contact whose leases have expired."""
         for worker in list(self._context.workers.values()):
-            is_silent = (
+            has_no_contact = (
                 worker.unanswered_in_row >= MAX_UNANSWERED_POLLS
                 or not worker.entry.host
             )
-            if worker.runs and is_silent and now_ms > worker.runs_until_ms:
+            if worker.runs and has_no_contact and now_ms > worker.runs_until_ms:
                 self._expire_runs(worker, now_ms)
             unlisted = not worker.is_listed and not worker.runs
             last_seen_ms = max(
