--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
@@ -5,7 +5,7 @@
 from itertools import count
 
 from thymefork_cells import LONG_CALL_MS, AdviceSlots
-from thymefork_cells.advice.requester import PRIORITY_STEP_MS
+from thymefork_cells.advice.requester import PRIORITY_LEVEL_MS
 from thymefork_net import steady_ms
 from thymefork_net.peers import AdviceRequest
 
@@ -145,7 +145,7 @@
         if self._ended:
             return
         now_ms = steady_ms()
-        due_ms = now_ms + effect.priority * PRIORITY_STEP_MS
+        due_ms = now_ms + effect.priority * PRIORITY_LEVEL_MS
         row = (due_ms, next(self._tie_breakers), now_ms, effect)
         heapq.heappush(self._waiting, row)
         self._dispatch()
