--- a/bench/overload.py
+++ b/bench/overload.py
@@ -16,7 +16,7 @@
 PEAK_RATE = 150
 OVERLOAD = 3
 LOOKUP_RATE = 120
-MERGES_PER_SECOND = 40
+BATCH_JOBS_PER_SECOND = 40
 SPAN_S = 8
 
 
@@ -43,26 +43,26 @@
     print(f"goodput {ratio:.2f} of the peak's (target 0.9)")
 
 
-def merge(cluster, until_s):
-    """Submit merges until the given time."""
+def submit_batch_jobs(cluster, until_s):
+    """Submit batch jobs until the given time."""
     while time.monotonic() < until_s:
         specs = [cluster.spec(run_ms=2000) for _ in range(10)]
         for name in cluster.names:
             form = {"works": specs}
             threading.Thread(target=cluster.post, args=(name, "/work", form)).start()
-        time.sleep(10 / MERGES_PER_SECOND)
+        time.sleep(10 / BATCH_JOBS_PER_SECOND)
 
 
-def measure_with_merges(cluster):
-    """Print the latency of lookups without and with merges on the same workers."""
+def measure_with_batch_jobs(cluster):
+    """Print the latency of lookups without and with batch jobs on the same workers."""
     alone = load(cluster, LOOKUP_RATE, 5, seed=3).summary()
     until_s = time.monotonic() + SPAN_S
-    merges = threading.Thread(target=merge, args=(cluster, until_s))
+    merges = threading.Thread(target=submit_batch_jobs, args=(cluster, until_s))
     merges.start()
     beside = load(cluster, LOOKUP_RATE, 5, seed=3).summary()
     merges.join()
     print(f"lookups alone: {alone}")
-    print(f"beside {MERGES_PER_SECOND} merges per second: {beside}")
+    print(f"beside {BATCH_JOBS_PER_SECOND} merges per second: {beside}")
     print(f"p99 {beside['p99_ms'] / alone['p99_ms']:.2f} times (target 1.2)")
 
 
@@ -71,7 +71,7 @@
     file = orjson.loads((ROOT / "examples" / "libraries.json").read_bytes())
     file["halls"] = file["halls"][:1]
     file["workers"] = file["workers"][:8]
-    for measurement in (measure_with_merges, goodput):
+    for measurement in (measure_with_batch_jobs, goodput):
         with Cluster(file=file) as cluster:
             measurement(cluster)
 
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -26,7 +26,7 @@
 
 @frozen(kw_only=True)
 class Item:
-    """Hold one work and its submission time.
+    """Hold one work item and its submission time.
 
     Units: `at_ms` in milliseconds since the start of the workload.
     """
@@ -91,7 +91,7 @@
         yield _task(rng, user, index, at_ms)
 
 
-def _merge_night(rng, user):
+def _burst(rng, user):
     """Yield a burst beyond the capacity, with jobs among the tasks."""
     for index in range(220):
         at_ms = rng.randint(0, SPAN_MS // 3)
@@ -103,8 +103,8 @@
 
 
 def _wrong_sizes(rng, user):
-    """Yield works whose declared run times are wrong by a factor of up to ten."""
-    for item in _merge_night(rng, user):
+    """Yield work items whose declared run times are wrong by a factor of up to ten."""
+    for item in _burst(rng, user):
         declared_ms = max(100, int(item.spec.run_ms * rng.choice((0.1, 0.5, 2, 10))))
         payload = f"{PAYLOAD_TAKES_MS}{item.spec.run_ms}"
         spec = evolve(item.spec, run_ms=declared_ms, payload=payload)
@@ -113,12 +113,12 @@
 
 WORKLOADS = {
     "diurnal": _diurnal,
-    "merge night": _merge_night,
+    "merge night": _burst,
     "wrong sizes": _wrong_sizes,
 }
 
 
 def make_items(workload, user, seed):
-    """Return the works of a workload by submission time."""
+    """Return the work items of a workload by submission time."""
     rng = random.Random(f"{workload}|{user}|{seed}")
     return sorted(WORKLOADS[workload](rng, user), key=lambda item: item.at_ms)
--- a/packages/thymefork-cli/src/thymefork_cli/tests/test_losses.py
+++ b/packages/thymefork-cli/src/thymefork_cli/tests/test_losses.py
@@ -148,11 +148,11 @@
 OTHERS_SUPPRESSED = line(3, "lines_left_out", counts={"tasks_start": 9}, dropped=0)
 
 
-@pytest.mark.parametrize("left_out", [SUPPRESSED, DROPPED])
-def test_request_with_a_suppressed_end_is_unknown_not_lost(left_out):
+@pytest.mark.parametrize("suppression_line", [SUPPRESSED, DROPPED])
+def test_request_with_a_suppressed_end_is_unknown_not_lost(suppression_line):
     """Suppressed log lines must not be reported as losses."""
     submit = line(1, "request_refused", job=JOB, kind="submit", outcome="refused")
-    losses = find_losses([submit, left_out, line(40, "stopped")])
+    losses = find_losses([submit, suppression_line, line(40, "stopped")])
     assert (losses.requests, losses.unknown, losses.items) == (1, 1, ())
     assert "1 unknown" in losses.text()
     assert losses.document()["unknown"] == 1
--- a/packages/thymefork-daemon/src/thymefork_daemon/capacity/handover_policy.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/capacity/handover_policy.py
@@ -1,4 +1,4 @@
-"""Rules for handing an instance's cells over to a better placed member."""
+"""Rules for handing an instance's cells over to a more suitable member."""
 
 from .tier import Tier
 
@@ -14,7 +14,7 @@
 # Ignores the load of the takeover itself.
 MIN_OWNERSHIP_MS = 5_000.0
 # Highest load of a member that may relieve an owner, relative to that owner's load.
-MAX_RELIEF_LOAD_RATIO = 0.5
+MAX_TARGET_LOAD_RATIO = 0.5
 # Delay between two handovers by this instance; doubles with each one.
 MIN_BACKOFF_MS = 5_000.0
 MAX_BACKOFF_MS = 60_000.0
@@ -71,7 +71,9 @@
         ):
             return "better_tier"
         is_overloaded = local.serves and self._is_persistently_overloaded(now_ms)
-        if is_overloaded and self._is_relief_available(now_ms, local, statuses):
+        if is_overloaded and self._is_less_loaded_member_available(
+            now_ms, local, statuses
+        ):
             return "overload"
         return None
 
@@ -82,7 +84,9 @@
         if reason == "better_tier":
             return self._is_better_tier_available(now_ms, statuses, owns=local.owns)
         is_overloaded = local.owns and local.serves and local.load.is_overloaded
-        return is_overloaded and self._is_relief_available(now_ms, local, statuses)
+        return is_overloaded and self._is_less_loaded_member_available(
+            now_ms, local, statuses
+        )
 
     def best_tier(self, now_ms, statuses):
         """Return the best tier of all healthy members, or None if none is known."""
@@ -149,7 +153,7 @@
             return False
         return now_ms - self._overloaded_since_ms >= MIN_OVERLOAD_MS
 
-    def _is_relief_available(self, now_ms, local, statuses):
+    def _is_less_loaded_member_available(self, now_ms, local, statuses):
         """Return whether a member that owns no cell could take over from this owner.
 
         Overloaded owners leave one at a time: the group spreads cells evenly, so the
@@ -164,7 +168,7 @@
             status.tier is not None
             and status.tier >= self._tier
             and not status.owns
-            and status.load_percent <= local.load.percent * MAX_RELIEF_LOAD_RATIO
+            and status.load_percent <= local.load.percent * MAX_TARGET_LOAD_RATIO
             and status.is_healthy_for(MIN_HEALTHY_MS, now_ms)
             for status in fresh
         )
--- a/packages/thymefork-daemon/src/thymefork_daemon/configuration_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/configuration_watch.py
@@ -21,8 +21,8 @@
 class ConfigurationWatch:
     """Follow the operators' topic; an older version never replaces a newer one.
 
-    `readable_since_ms` is the monotonic time since which every read was answered, or
-    None while the last read was not.
+    `readable_since_ms` is the time on the steady clock since which every read was
+    answered, or None while the last read was not.
     """
 
     def __init__(self, *, store, timers, on_change):
--- a/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/daemon.py
@@ -56,7 +56,7 @@
         """Build the components; nothing is sent before the loop runs."""
         self._log_writer = log_writer
         self._former_incarnations_marked = False
-        self._life = f"{time.time_ns():x}{os.getpid():x}"
+        self._incarnation = f"{time.time_ns():x}{os.getpid():x}"
         self.owned_cells = OwnedCells(daemon=self)
         self.timers = SteadyTimers().register(self)
         self._settings_watch = SettingsWatch(
@@ -73,12 +73,12 @@
         self._build_watches()
         self.heard_end_buffer = HeardEndBuffer(daemon=self)
         self.learned_speeds = LearnedSpeeds(daemon=self)
-        self.parts = LimitPartRouter(daemon=self)
+        self.limit_part_router = LimitPartRouter(daemon=self)
         self.peers = PeerDispatcher(daemon=self)
         self.links = Links(
             sockets=self.sockets,
             instance=settings.instance,
-            life=self._life,
+            incarnation=self._incarnation,
             address=settings.peer,
             listener=self.peers,
         )
@@ -145,7 +145,7 @@
             store=self.store,
             timers=self.timers,
             settings=self.settings,
-            life=self._life,
+            incarnation=self._incarnation,
             on_change=self.owned_cells.update,
             must_wait=JoinDeferral(daemon=self).must_wait,
         )
@@ -202,12 +202,15 @@
 
     @handler("started", channel="*")
     def _on_started(self, manager):
-        line = logger.bind(event="started", life=self._life)
+        line = logger.bind(event="started", life=self._incarnation)
         line = line.bind(tier=self.capacity.tier.name, lacks=self.capacity.lacks)
         line.info("instance started")
         if self.settings.commands_by_heartbeat:
             line = logger.bind(event="not_supported", setting="orders")
-            line.error("workers accept no calls with this setting; no task can run")
+            line.error(
+                "setting orders=heartbeat is not supported, no task can run;"
+                " set orders=call"
+            )
         self._configuration_watch.start()
         self.directory.refresh()
         self.layout.start()
--- a/packages/thymefork-daemon/src/thymefork_daemon/dead_members.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/dead_members.py
@@ -10,7 +10,7 @@
 # incarnation; no process restarts within this time.
 DEAD_MARK_TTL_MS = 250.0
 # Limits the rate of leave calls for one member that stays listed.
-LEAVE_RETRY_MS = 150.0
+LEAVE_RETRY_DELAY_MS = 150.0
 NEVER_MS = float("-inf")
 
 
@@ -57,7 +57,7 @@
         leave = self._leaves.get(member_id)
         if leave is None:
             return True
-        if now_ms < leave.sent_ms + LEAVE_RETRY_MS:
+        if now_ms < leave.sent_ms + LEAVE_RETRY_DELAY_MS:
             return False
         # A member that is listed again after its removal has rejoined.
         was_removed = leave.done_ms >= self._marked_ms[address]
--- a/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/frontend.py
@@ -133,4 +133,4 @@
         outcome=str(reply.outcome),
         retry_after_ms=reply.retry_after_ms,
         after_ms=round(took_ms),
-    ).info("request refused; the caller is asked to retry")
+    ).info("request refused or not confirmed; the caller is asked to retry")
--- a/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
@@ -19,7 +19,7 @@
 # short enough that the caller can still retry within its deadline.
 FIND_OWNER_MS = 350.0
 RETRY_PERIOD_MS = 50.0
-# A request whose outcome is unknown cannot be retried safely by its caller, so it waits
+# A request whose outcome is unknown must not be reported as refused, so it waits
 # longer: until the next owner serves, also where the membership has to lapse first.
 FIND_NEXT_OWNER_MS = 1_600.0
 # Poll period for pending requests of cells that have since come to this instance.
@@ -31,7 +31,8 @@
 class Gateway:
     """Forward requests, and resend them to the cell's next owner while time is left.
 
-    Requests carry their job's id, so resending them is idempotent.
+    Owners deduplicate requests by job id, so an instance may send one again to the next
+    owner.
     """
 
     def __init__(self, *, daemon):
@@ -205,7 +206,7 @@
             cell=pending.cell,
             reason=reason,
             outcome=str(outcome),
-        ).info("giving up: no reply from the cell's owner")
+        ).info("request given up: no owner answered or none was found")
         reply = fx.Reply(
             request_id=None, outcome=outcome, retry_after_ms=NO_OWNER_RETRY_MS
         )
--- a/packages/thymefork-daemon/src/thymefork_daemon/limit_part_router.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/limit_part_router.py
@@ -32,7 +32,7 @@
         link = self._routes.link_to(message.to_cell)
         if link is None:
             self._daemon.metrics.count("limit_parts_dropped", "no_link")
-        elif not self._daemon.peers.moves_parts(link.listener_address):
+        elif not self._daemon.peers.supports_limit_parts(link.listener_address):
             self._daemon.metrics.count("limit_parts_dropped", "peer_moves_none")
         else:
             link.send(to_wire(message))
@@ -52,7 +52,7 @@
 @singledispatch
 def to_wire(message):
     """Return the peer message for a cell's message."""
-    raise TypeError(f"{type(message).__name__} is no message on parts")
+    raise TypeError(f"{type(message).__name__} is not a limit part message")
 
 
 @to_wire.register
@@ -99,7 +99,7 @@
 @singledispatch
 def from_wire(message):
     """Return the cell's message for a peer message."""
-    raise TypeError(f"{type(message).__name__} is no message on parts")
+    raise TypeError(f"{type(message).__name__} is not a limit part message")
 
 
 @from_wire.register
--- a/packages/thymefork-daemon/src/thymefork_daemon/membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/membership.py
@@ -60,14 +60,14 @@
 class Membership:
     """Renew the membership and track which partitions are assigned to this instance.
 
-    Validity counts from the monotonic time at which an answered join was sent, so it
-    never outlasts what the store grants; `renewed_ms` is the latest such time, 0 before
-    the first.
+    Validity counts from the time on the steady clock at which an answered join was
+    sent, so it never outlasts what the store grants; `renewed_ms` is the latest such
+    time, 0 before the first.
     """
 
-    def __init__(self, *, store, timers, settings, life, on_change, must_wait):
+    def __init__(self, *, store, timers, settings, incarnation, on_change, must_wait):
         peer = settings.peer
-        self.member_id = f"{settings.instance}|{peer.host}|{peer.port}|{life}"
+        self.member_id = f"{settings.instance}|{peer.host}|{peer.port}|{incarnation}"
         self.ttl_ms = float(settings.store.min_membership_ms)
         self.generation = 0
         self.epochs = {}
@@ -83,12 +83,12 @@
         self._join_timer = 0
         self._store = store
         self._timers = timers
-        self._has_to_wait = must_wait
+        self._must_wait = must_wait
         self._notifier = ChangeNotifier(listener=on_change)
-        self._left = False
+        self._has_left = False
         self._has_left_permanently = False
         self._pending_joins = set()
-        self._is_answered = True
+        self._is_store_answering = True
 
     def start(self):
         """Join and keep renewing; after a leave, join as a new member.
@@ -98,8 +98,8 @@
         if self._has_left_permanently:
             return
         self._timers.cancel(self._join_timer)
-        if self._left:
-            self._left = False
+        if self._has_left:
+            self._has_left = False
             self.renewed_ms = self.valid_until_ms = self._joined_ms = 0.0
             self._last_answered_ms = steady_ms()  # ignores answers to earlier joins
         self._join()
@@ -112,7 +112,7 @@
     @property
     def in_group(self):
         """Return whether this instance is a member and may be assigned cells."""
-        return self.renewed_ms > 0 and not self._left
+        return self.renewed_ms > 0 and not self._has_left
 
     @property
     def store_lost(self):
@@ -144,9 +144,9 @@
 
     def _join(self, *, is_repeat=False):
         self._join_timer = 0
-        if self._left:
+        if self._has_left:
             return
-        if (self.store_lost or not self.in_group) and self._has_to_wait():
+        if (self.store_lost or not self.in_group) and self._must_wait():
             self._join_after(WAIT_POLL_MS if self.in_group else FIRST_WAIT_POLL_MS)
             return
         sent_ms = steady_ms()
@@ -172,7 +172,7 @@
 
     def _on_result(self, call, result, sent_ms):
         self._pending_joins.discard(call)
-        if not self._left:
+        if not self._has_left:
             self._on_joined(result, sent_ms)
         elif result is not None:
             # The store may have carried the join out after the leave.
@@ -247,9 +247,9 @@
         self._send_leave(lambda answer: self.join_now())
 
     def _log_reachability(self, *, answering):
-        if answering == self._is_answered:
+        if answering == self._is_store_answering:
             return
-        self._is_answered = answering
+        self._is_store_answering = answering
         event = "store_regained" if answering else "store_lost"
         line = logger.bind(event=event, generation=self.generation)
         line.info("store {} joins", "answers" if answering else "does not answer")
@@ -275,7 +275,7 @@
 
     def leave(self, on_done, *, permanent=False):
         """Release all partitions and leave the group."""
-        self._left = True
+        self._has_left = True
         self._has_left_permanently = self._has_left_permanently or permanent
         self._refused_epochs.update(self.epochs)
         self.epochs = {}
--- a/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owned_cells.py
@@ -26,7 +26,7 @@
         self._daemon.worker_list.set_wanted(bool(epochs))
         for cell, epoch in epochs.items():
             if cell not in self.owners:
-                owner = CellOwner(cell=cell, epoch=epoch, daemon=self._daemon)
+                owner = CellOwner(cell_index=cell, epoch=epoch, daemon=self._daemon)
                 self.owners[cell] = owner
                 owner.start()
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_call.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_call.py
@@ -9,8 +9,8 @@
 class AppendCall:
     """Hold when a call was sent, and the state of its batch at that time.
 
-    `follows` is true if all earlier batches were known to be stored, `is_repeat` if
-    another call for the batch had been sent before.
+    `was_head` is true if the batch was the head of the queue, that is, all earlier ones
+    were stored; `is_repeat` if another call for the batch had been sent before.
     """
 
     sent_ms: float
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pipeline.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pipeline.py
@@ -40,7 +40,7 @@
         self._timers = timers
         self._metrics = metrics
         self._may_write = may_write
-        self._on_lost = on_ownership_lost
+        self._on_ownership_lost = on_ownership_lost
         self._stored_sequence = last_sequence
         self._last_sequence = last_sequence
         self._in_flight = deque()
@@ -213,12 +213,12 @@
         elif result.outcome is AppendOutcome.OUT_OF_SEQUENCE:
             self._on_out_of_sequence(pending, result, call)
         elif result.outcome is AppendOutcome.NOT_STORED:
-            self._on_rejected(pending, result)
+            self._on_not_stored_answer(pending, result)
         elif result.outcome is AppendOutcome.UNKNOWN:
             pending.is_outcome_unknown = True
             self._return_or_resend(pending, "append_unknown")
         else:
-            self._on_refused(result)
+            self._on_superseded(result)
 
     def _on_out_of_sequence(self, pending, result, call):
         """Treat all sequence numbers below the wanted one as stored.
@@ -227,7 +227,7 @@
         the cell has another owner then.
         """
         if call.follows and result.expected_sequence <= pending.sequence:
-            self._on_refused(result)
+            self._on_superseded(result)
         elif result.expected_sequence - 1 > self._stored_sequence:
             self._on_stored(result.expected_sequence - 1)
         elif self._is_head(pending):
@@ -236,7 +236,7 @@
         else:
             self._return_if_not_stored()
 
-    def _on_rejected(self, pending, result):
+    def _on_not_stored_answer(self, pending, result):
         if not self._is_failing:
             line = self._event_logger("store_turns_away")
             line.info("the store rejected an append: {}", result.error)
@@ -250,7 +250,7 @@
         if not self._return_if_not_stored() and pending.open_calls == 0:
             self._schedule_resend(pending)
 
-    def _on_refused(self, result):
+    def _on_superseded(self, result):
         self._ended = True
         line = self._event_logger(
             "append_refused",
@@ -258,9 +258,11 @@
             sequence=self._stored_sequence,
         )
         line.warning(
-            "append refused, ownership lost: {} {}", result.outcome, result.error
+            "ownership lost, the store refused an append: {} {}",
+            result.outcome,
+            result.error,
         )
-        self._on_lost(str(result.outcome))
+        self._on_ownership_lost(str(result.outcome))
 
     # Outcomes ----------------------------------------------------------------
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -24,10 +24,13 @@
 
 
 class CellOwner:
-    """Take over a cell and execute its effects until the ownership ends."""
+    """Take over a cell and execute its effects until the ownership ends.
 
-    def __init__(self, *, cell, epoch, daemon):
-        self.cell_index = cell
+    `cell` is the loaded Cell, None until the takeover is complete.
+    """
+
+    def __init__(self, *, cell_index, epoch, daemon):
+        self.cell_index = cell_index
         self.epoch = epoch
         self.cell = None
         self._daemon = daemon
@@ -35,18 +38,18 @@
         self._ended = False
         self._loop = None
         self._request_handler = None
-        partition = daemon.layout.partition_of(cell)
+        partition = daemon.layout.partition_of(cell_index)
         self._ownership = Ownership(
             membership=daemon.membership, partition=partition, epoch=epoch
         )
         self._partition = CellPartition(
-            store=daemon.store, cell=cell, partition=partition, epoch=epoch
+            store=daemon.store, cell=cell_index, partition=partition, epoch=epoch
         )
         self._takeover = self._build_takeover()
         self._pipeline = self._build_pipeline()
         self._advice_dispatcher = self._build_advice_dispatcher()
         self._executor = EffectExecutor(
-            cell_index=cell,
+            cell_index=cell_index,
             metrics=daemon.metrics,
             advice_dispatcher=self._advice_dispatcher,
             command_sender=CommandSender(owner=self, client=daemon.workers),
@@ -54,7 +57,7 @@
             announce_ends=self._announce_ends,
             sheds=daemon.owner_load.load_shedder.sheds,
             announce_speeds=self._announce_speeds,
-            send_parts=lambda message: daemon.parts.send(message),
+            send_parts=lambda message: daemon.limit_part_router.send(message),
         )
 
     def _build_takeover(self):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner_watch.py
@@ -10,9 +10,9 @@
 OWNER_HEARTBEAT_MS = 100.0
 CHECK_MS = 50.0
 # Four missed heartbeats; well below the time after which a membership lapses.
-OWNER_TIMEOUT_MS = 450.0
+EVICTION_TIMEOUT_MS = 450.0
 # A member that hears fewer of its peers than this is probably disconnected itself.
-MIN_HEARD_SHARE = 0.5
+MIN_RESPONSIVE_FRACTION = 0.5
 # When members join after an eviction: the first join of the new owner, and a second
 # one for members that noticed the silence a few checks later.
 JOIN_DELAYS_MS = (30.0, 90.0)
@@ -60,7 +60,7 @@
             address = daemon.directory.owner_of(cell)
             if address is None or address == daemon.settings.peer:
                 continue
-            if daemon.links.is_unresponsive(address, OWNER_TIMEOUT_MS):
+            if daemon.links.is_unresponsive(address, EVICTION_TIMEOUT_MS):
                 self._evict(address, "silent")
 
     def _evict(self, address, reason):
@@ -91,5 +91,6 @@
         if not membership.is_healthy:
             return False
         return (
-            self._daemon.links.responsive_fraction(OWNER_TIMEOUT_MS) >= MIN_HEARD_SHARE
+            self._daemon.links.responsive_fraction(EVICTION_TIMEOUT_MS)
+            >= MIN_RESPONSIVE_FRACTION
         )
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -149,7 +149,7 @@
         elif isinstance(message, EndsHeard):
             self._daemon.heard_end_buffer.on_message(message)
         elif isinstance(message, LIMIT_PART_MESSAGES):
-            self._daemon.parts.on_message(message)
+            self._daemon.limit_part_router.on_message(message)
         else:
             self._on_links_changed()
 
@@ -157,7 +157,7 @@
         """Return whether the instance at an address has not lost the store."""
         return address not in self._without_store
 
-    def moves_parts(self, address):
+    def supports_limit_parts(self, address):
         """Return whether the instance at an address supports limit parts."""
         return address in self._supporting_parts
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
@@ -4,8 +4,8 @@
 
 __all__ = ["Readiness"]
 
-# Two missed heartbeats.
-OWNER_TIMEOUT_MS = 650.0
+# Two missed heartbeats of HEARTBEAT_MS.
+READINESS_TIMEOUT_MS = 650.0
 # The load balancer removes an instance from rotation after two failed checks, a second
 # apart; by then new connections go elsewhere.
 OUT_OF_ROTATION_MS = 2_500.0
@@ -16,7 +16,7 @@
 
     def __init__(self, *, daemon):
         self._daemon = daemon
-        self._owners_silent_since_ms = 0.0
+        self._unresponsive_since_ms = 0.0
 
     def check(self):
         """Return whether this instance is ready for callers."""
@@ -31,16 +31,16 @@
             return False
         cells = range(daemon.layout.cells)
         if not self.hears_all_owners:
-            self._owners_silent_since_ms = self._owners_silent_since_ms or steady_ms()
+            self._unresponsive_since_ms = self._unresponsive_since_ms or steady_ms()
             return False
-        self._owners_silent_since_ms = 0.0
+        self._unresponsive_since_ms = 0.0
         return all(self._owner_has_store(cell) for cell in cells)
 
     @property
     def hears_all_owners(self):
         """Return whether each cell's owner is local or was heard recently."""
         cells = range(self._daemon.layout.cells)
-        return all(self._hears_owner(cell) for cell in cells)
+        return all(self._is_owner_responsive(cell) for cell in cells)
 
     @property
     def is_disconnected(self):
@@ -50,18 +50,18 @@
         reach the store, which would answer if there were merely no owners.
         """
         self.check()
-        if self._daemon.can_read_store or not self._owners_silent_since_ms:
+        if self._daemon.can_read_store or not self._unresponsive_since_ms:
             return False
-        return steady_ms() - self._owners_silent_since_ms > OUT_OF_ROTATION_MS
+        return steady_ms() - self._unresponsive_since_ms > OUT_OF_ROTATION_MS
 
-    def _hears_owner(self, cell):
+    def _is_owner_responsive(self, cell):
         owner = self._daemon.owners.get(cell)
         if owner is not None and owner.is_serving:
             return True
         address = self._daemon.directory.owner_of(cell)
         if address is None:
             return False
-        return self._daemon.links.is_responsive(address, OWNER_TIMEOUT_MS)
+        return self._daemon.links.is_responsive(address, READINESS_TIMEOUT_MS)
 
     def _owner_has_store(self, cell):
         """Return whether a cell's owner reaches the store and can accept requests.
--- a/packages/thymefork-daemon/src/thymefork_daemon/standby.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/standby.py
@@ -72,8 +72,8 @@
         """Join if the conditions for it are met."""
         if self._is_stopping() or self._has_joined or not self._layout.cells:
             return
-        if self._is_regular_member() and steady_ms() >= self._cooldown_until_ms():
-            self._join("none is better")
+        if self._has_best_tier() and steady_ms() >= self._cooldown_until_ms():
+            self._join("joining the group: no instance has a better tier")
             return
         if self._is_cooling_down():
             return
@@ -85,7 +85,9 @@
             self._missing_since_ms = now_ms
         has_waited = now_ms - self._missing_since_ms > self._wait_ms()
         if has_waited and self._directory.is_count_fresh:
-            self._join("too few instances take part in owning the cells")
+            self._join(
+                "joining the group: members are missing or the owner has a lower tier"
+            )
         else:
             self._directory.refresh()  # another instance may have joined
 
@@ -95,8 +97,8 @@
             steady_ms() < self._cooldown_until_ms()
         )
 
-    def _is_regular_member(self):
-        """Return whether this instance's tier is the best of all."""
+    def _has_best_tier(self):
+        """Return whether no instance has a better tier; false for the lowest tier."""
         return self._tier > Tier.LEAST and self._tier >= self._layout.best_tier
 
     def _members_are_missing(self):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
@@ -76,7 +76,7 @@
 
 
 def test_two_owners_start_with_different_instances(timers):
-    """Calls of all owners queued up at the same instances."""
+    """Guards against all owners queueing calls at the same instance."""
     links = [FakeLink(name) for name in NAMES]
     for start_fraction in (0.0, 0.5):
         dispatcher = make_dispatcher(timers, links, start_fraction)
@@ -95,7 +95,7 @@
 
 
 def test_low_priority_call_is_sent_despite_constant_urgent_calls(timers):
-    """Under overload, urgent calls starved the others."""
+    """Guards against starvation by urgent calls under overload."""
     links = [FakeLink(name) for name in NAMES]
     dispatcher = make_dispatcher(timers, links, 0.0)
     for _ in range(20):
@@ -151,7 +151,7 @@
 
 
 def test_waiting_call_is_not_sent_over_broken_link(timers):
-    """A proxy whose call failed counted as free before it was removed."""
+    """Guards against treating a proxy as free after its link has broken."""
     links = [FakeLink("edge-0"), FakeLink("edge-1"), FakeLink("edge-2")]
     answered = []
     dispatcher = make_dispatcher(timers, links, 0.0, record_steps(answered))
@@ -237,7 +237,7 @@
 
 
 def test_long_calls_use_nearly_all_instances_without_short_calls(timers):
-    """A fixed reserve left instances idle while long calls waited."""
+    """Guards against instances left idle by a fixed reserve."""
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
     dispatcher = make_dispatcher(timers, links, 0.0)
     assert dispatcher.slots.long_call == 14
@@ -256,7 +256,7 @@
 
 
 def test_reserve_grows_at_once_when_short_calls_begin(timers):
-    """A rise was recorded only at the end of the retention time."""
+    """Guards against a reserve that grows only after the retention time."""
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
     dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -163,7 +163,7 @@
 
 
 def test_requests_not_in_any_append_are_refused_when_ownership_ends(daemon):
-    """Their callers got no answer, though nothing was sent to the store."""
+    """Guards against leaving callers unanswered although nothing was sent."""
     daemon.owned_cells.update()
     owner, replies = daemon.owners[0], []
     send_request(owner, NEW_JOB, replies)
@@ -201,7 +201,7 @@
 
 
 def test_job_not_in_any_append_is_refused_before_callers_timeout(daemon, timers):
-    """Callers waiting behind an unanswered append got no answer."""
+    """Guards against callers that time out behind an unanswered append."""
     daemon.owned_cells.update()
     appends, replies = silence_store(daemon, timers), []
     send_request(daemon.owners[0], SECOND_JOB, replies, patience_ms=400)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("state", [RunState.STOPPING, RunState.GONE])
 def test_waiting_start_is_unwanted_after_cancellation(owner, client, state):
-    """It was sent after the stop of the same run."""
+    """Guards against sending a start after the stop of its run."""
     worker = make_worker()
     job = SimpleNamespace(spec=SimpleNamespace(payload=""))
     step = SimpleNamespace(job=job, ticket_for=lambda worker_id, now_ms: None)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_departure.py
@@ -53,7 +53,7 @@
             peer=Address(host="10.0.0.1", port=7000),
             store=SimpleNamespace(min_membership_ms=1_000),
         ),
-        life="1",
+        incarnation="1",
         on_change=lambda: None,
         must_wait=lambda: False,
     )
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_ended_owner.py
@@ -30,7 +30,7 @@
 @pytest.fixture
 def owner_with_calls(daemon):
     """Return an owner with one advice call in flight and one waiting."""
-    owner = CellOwner(cell=0, epoch=1, daemon=daemon)
+    owner = CellOwner(cell_index=0, epoch=1, daemon=daemon)
     link = FakeLink("edge-0")
     owner._advice_dispatcher.update([link])
     owner._advice_dispatcher.ask(advice_call("in flight"))
@@ -40,7 +40,7 @@
 
 
 def test_ended_owner_makes_no_advice_calls(owner_with_calls, timers):
-    """They were sent before those of the cell's next owner."""
+    """Guards against calls that delay those of the next owner."""
     owner, link = owner_with_calls
     owner.end("test")
     owner.on_advice_reply(reply_to(link.sent[0]))
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_late_not_owner_reply_removes_the_doubt(daemon, timers, kind):
+def test_late_not_owner_reply_makes_request_refusable(daemon, timers, kind):
     """The next owner was heard first, and the request has another call id by then."""
     daemon.directory.known[0] = OWNER
     gateway, replies = ask(daemon, timers, kind=kind)
@@ -89,7 +89,7 @@
     assert outcome_of(replies) is fx.Outcome.REFUSED
 
 
-def test_one_of_two_not_owner_replies_leaves_doubt(daemon, timers):
+def test_one_of_two_not_owner_replies_leaves_outcome_unknown(daemon, timers):
     daemon.directory.known[0] = OWNER
     gateway, replies = ask(daemon, timers)
     gateway.on_heartbeat(daemon.next_owner, heartbeat_of_next_owner())
@@ -123,7 +123,7 @@
     assert outcome_of(replies) is fx.Outcome.IN_DOUBT
 
 
-def test_unsent_request_on_the_previous_link_causes_no_doubt(daemon, timers):
+def test_unsent_request_on_previous_link_is_refused(daemon, timers):
     daemon.directory.known[0] = OWNER
     daemon.link.keeps_all_bytes = True
     gateway, replies = ask(daemon, timers)
@@ -142,7 +142,7 @@
     assert outcome_of(replies) is fx.Outcome.REFUSED
 
 
-def test_local_owner_that_ended_before_storing_causes_no_doubt(daemon, timers):
+def test_local_owner_that_ended_before_storing_leads_to_refusal(daemon, timers):
     """It replies NOT_OWNER to a request that it never began to store."""
     daemon.owners[0] = owner = FakeOwner()
     _, replies = ask(daemon, timers)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover.py
@@ -125,12 +125,12 @@
     group.run(8_000)
     temporary_owner = group.owner
     group.restart(full)
-    away = [temporary_owner] if without_store == "stand_in" else full
-    for instance in away:
+    without_store_instances = [temporary_owner] if without_store == "stand_in" else full
+    for instance in without_store_instances:
         instance.has_store = False
     group.run(10_000)
     assert group.owner is temporary_owner and not temporary_owner.announcements
-    for instance in away:
+    for instance in without_store_instances:
         instance.has_store = True
     group.run(8_000)
     assert group.owner in full
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_handover_policy.py
@@ -1,7 +1,7 @@
-"""Tests of the handover policy with overloaded owners and one possible successor.
+"""Tests of the handover policy with overloaded owners and one possible next owner.
 
 All owners are overloaded at once and see the same statuses, but only one may leave for
-the successor.
+it.
 """
 
 import pytest
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
@@ -93,7 +93,7 @@
             refresh=lambda: None,
         ),
     )
-    daemon.parts = LimitPartRouter(daemon=daemon)
+    daemon.limit_part_router = LimitPartRouter(daemon=daemon)
     daemon.peers = PeerDispatcher(daemon=daemon)
     return daemon
 
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("message", MESSAGES)
 def test_message_reaches_a_peers_owner_unchanged(daemon, message):
     receive_heartbeat(daemon, moves_parts=True)
-    daemon.parts.send(message)
+    daemon.limit_part_router.send(message)
     (wire,) = daemon.link.sent
     owner = daemon.owners[1] = FakeOwner()
     daemon.peers.on_message(daemon.link, wire)
@@ -120,7 +120,7 @@
     daemon, timers, message
 ):
     owner = daemon.owners[1] = FakeOwner()
-    daemon.parts.send(message)
+    daemon.limit_part_router.send(message)
     assert not owner.received
     timers.run(1)
     assert owner.received == [message] and not daemon.link.sent
@@ -130,15 +130,15 @@
 def test_peer_without_support_for_parts_gets_no_message(daemon, moves_parts):
     receive_heartbeat(daemon, moves_parts=True)
     receive_heartbeat(daemon, moves_parts=moves_parts)
-    daemon.parts.send(ASK)
+    daemon.limit_part_router.send(ASK)
     assert not daemon.link.sent
     assert daemon.metrics.counts == [("limit_parts_dropped", "peer_moves_none")]
 
 
 def test_message_without_an_owner_is_dropped_and_counted(daemon):
     daemon.owner_addresses.clear()
-    daemon.parts.send(ASK)
-    daemon.parts.on_message(to_wire(ASK))
+    daemon.limit_part_router.send(ASK)
+    daemon.limit_part_router.on_message(to_wire(ASK))
     assert daemon.metrics.counts == [
         ("limit_parts_dropped", "no_link"),
         ("limit_parts_dropped", "not_owned_here"),
@@ -147,7 +147,7 @@
 
 def test_owner_lost_before_delivery_gets_no_message(daemon, timers):
     owner = daemon.owners[1] = FakeOwner()
-    daemon.parts.send(ASK)
+    daemon.limit_part_router.send(ASK)
     del daemon.owners[1]
     timers.run(1)
     assert not owner.received
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_membership.py
@@ -34,7 +34,7 @@
             store=store,
             timers=timers,
             settings=settings,
-            life="1",
+            incarnation="1",
             on_change=on_change,
             must_wait=must_wait,
         )
@@ -150,8 +150,8 @@
     )
 
 
-def row(host, life="1"):
-    member_id = f"x|{host}|7000|{life}"
+def row(host, incarnation="1"):
+    member_id = f"x|{host}|7000|{incarnation}"
     return MemberRow(topic=CELLS_TOPIC, partition=7, member_id=member_id)
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_directory.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_owner_directory.py
@@ -19,8 +19,8 @@
 DONE = HttpAnswer(status=200)
 
 
-def row(address, life="1"):
-    member_id = f"x|{address.host}|{address.port}|{life}"
+def row(address, incarnation="1"):
+    member_id = f"x|{address.host}|{address.port}|{incarnation}"
     return MemberRow(topic=CELLS_TOPIC, partition=7, member_id=member_id)
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_request_handler.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    "away", [{"pump_says_away": True}, {"is_certain": False}], ids=str
+    "unavailability", [{"pump_says_away": True}, {"is_certain": False}], ids=str
 )
 @pytest.mark.parametrize(
     "kind, job_id, decided",
@@ -77,9 +77,9 @@
     ],
 )
 def test_only_known_jobs_are_handled_while_store_is_unavailable(
-    kind, job_id, decided, away
+    kind, job_id, decided, unavailability
 ):
-    asked, counts, replies = handle(kind, job_id, **away)
+    asked, counts, replies = handle(kind, job_id, **unavailability)
     assert asked == ([(kind, job_id)] if decided else [])
     if not decided:
         assert counts == [("refusals", "store_away")]
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_shutdown.py
@@ -74,10 +74,12 @@
     assert daemon.owner.ended and "left" in daemon.log
 
 
-@pytest.mark.parametrize("away_by", ["joins", "appends"])
-def test_owner_keeps_its_cells_while_the_store_is_unavailable(daemon, timers, away_by):
-    daemon.membership.store_lost = away_by == "joins"
-    daemon.owner.is_store_responding = away_by != "appends"
+@pytest.mark.parametrize("unanswered_calls", ["joins", "appends"])
+def test_owner_keeps_its_cells_while_the_store_is_unavailable(
+    daemon, timers, unanswered_calls
+):
+    daemon.membership.store_lost = unanswered_calls == "joins"
+    daemon.owner.is_store_responding = unanswered_calls != "appends"
     daemon.shutdown.begin()
     timers.run(4_000)
     assert not daemon.owner.ended
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_takeover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_takeover.py
@@ -16,7 +16,7 @@
 
 
 class PartitionStore:
-    """Answer from one partition of the store's stand-in."""
+    """Answer from one partition of the simulated store."""
 
     def __init__(self):
         self.partition = Partition()
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_worker_list_watch.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_worker_list_watch.py
@@ -41,7 +41,7 @@
 
 
 @pytest.fixture
-def scene(timers):
+def harness(timers):
     reader, changes, unreadable = FakeReader(), [], []
     watch = WorkerListWatch(
         store=reader,
@@ -62,33 +62,33 @@
     )
 
 
-def lapse(scene, *worker_ids, outage_ms):
+def lapse(harness, *worker_ids, outage_ms):
     for _ in range(outage_ms // 400):
-        scene.reader.answer(None)
-        scene.timers.run(400)
+        harness.reader.answer(None)
+        harness.timers.run(400)
     gone = tuple(StoreRecord(key=worker_id, value=b"") for worker_id in worker_ids)
-    scene.reader.answer(ReadResult(records=gone, next_offset=9))
+    harness.reader.answer(ReadResult(records=gone, next_offset=9))
 
 
-def test_deleted_entry_removes_its_worker(scene):
-    lapse(scene, "a", outage_ms=0)
-    assert set(scene.watch.entries) == {"b"}
+def test_deleted_entry_removes_its_worker(harness):
+    lapse(harness, "a", outage_ms=0)
+    assert set(harness.watch.entries) == {"b"}
 
 
-def test_entries_lapsed_in_an_outage_are_kept_for_a_while(scene):
-    lapse(scene, "a", "b", outage_ms=4_800)
-    assert set(scene.watch.entries) == {"a", "b"}
-    scene.timers.run(1_200)
-    scene.reader.answer(ReadResult(records=(entry("a"),), next_offset=10))
-    scene.timers.run(1_300)
-    assert set(scene.watch.entries) == {"a"}
+def test_entries_lapsed_in_an_outage_are_kept_for_a_while(harness):
+    lapse(harness, "a", "b", outage_ms=4_800)
+    assert set(harness.watch.entries) == {"a", "b"}
+    harness.timers.run(1_200)
+    harness.reader.answer(ReadResult(records=(entry("a"),), next_offset=10))
+    harness.timers.run(1_300)
+    assert set(harness.watch.entries) == {"a"}
 
 
-def test_lapsed_entry_is_replaced_by_its_machines_new_worker(scene):
-    lapse(scene, "a", outage_ms=4_800)
-    scene.timers.run(400)
-    scene.reader.answer(ReadResult(records=(entry("c", "m-1"),), next_offset=10))
-    assert set(scene.watch.entries) == {"b", "c"}
+def test_lapsed_entry_is_replaced_by_its_machines_new_worker(harness):
+    lapse(harness, "a", outage_ms=4_800)
+    harness.timers.run(400)
+    harness.reader.answer(ReadResult(records=(entry("c", "m-1"),), next_offset=10))
+    assert set(harness.watch.entries) == {"b", "c"}
 
 
 def test_watch_continues_after_a_listener_raised(timers):
@@ -110,46 +110,48 @@
     assert len(reader.calls) == 1
 
 
-def test_entries_lapsed_in_an_outage_are_marked(scene):
+def test_entries_lapsed_in_an_outage_are_marked(harness):
     """An outdated entry may list more capacity than the worker has left."""
-    lapse(scene, "a", outage_ms=4_000)
-    lapsed = {key: one.is_lapsed for key, one in scene.watch.entries.items()}
+    lapse(harness, "a", outage_ms=4_000)
+    lapsed = {key: one.is_lapsed for key, one in harness.watch.entries.items()}
     assert lapsed == {"a": True, "b": False}
     back = ReadResult(records=(entry("a"),), next_offset=10)
-    scene.timers.run(400)
-    scene.reader.answer(back)
-    assert not any(one.is_lapsed for one in scene.watch.entries.values())
+    harness.timers.run(400)
+    harness.reader.answer(back)
+    assert not any(one.is_lapsed for one in harness.watch.entries.values())
 
 
-def test_list_is_as_old_as_its_request(scene):
+def test_list_is_as_old_as_its_request(harness):
     """A paused process must not take an old answer for a recent one."""
-    asked_ms = scene.timers.now_ms
-    scene.timers.run(5_000)  # paused while the answer waits
-    scene.reader.answer(ReadResult(records=(), next_offset=2))
-    assert scene.watch.as_of_ms == asked_ms
+    asked_ms = harness.timers.now_ms
+    harness.timers.run(5_000)  # paused while the answer waits
+    harness.reader.answer(ReadResult(records=(), next_offset=2))
+    assert harness.watch.as_of_ms == asked_ms
 
 
-def test_stale_list_is_read_more_often(scene):
+def test_stale_list_is_read_more_often(harness):
     for _ in range(8):
-        scene.reader.answer(None)
-        scene.timers.run(400)
-    scene.reader.answer(None)
-    scene.timers.run(150)
-    assert scene.reader.calls
+        harness.reader.answer(None)
+        harness.timers.run(400)
+    harness.reader.answer(None)
+    harness.timers.run(150)
+    assert harness.reader.calls
 
 
-@pytest.mark.parametrize("spoiled", [b"\xff", b"[]", b'{"service": 7}', b"{}"])
-def test_invalid_entry_removes_its_worker_until_rewritten(scene, spoiled):
-    record = StoreRecord(key="a", value=spoiled)
-    scene.reader.answer(ReadResult(records=(record,), next_offset=3))
-    assert set(scene.watch.entries) == {"b"}
-    assert len(scene.unreadable) == 1
-    scene.timers.run(400)
-    scene.reader.answer(ReadResult(records=(entry("a"),), next_offset=4))
-    assert set(scene.watch.entries) == {"a", "b"}
+@pytest.mark.parametrize("invalid_value", [b"\xff", b"[]", b'{"service": 7}', b"{}"])
+def test_invalid_entry_removes_its_worker_until_rewritten(harness, invalid_value):
+    record = StoreRecord(key="a", value=invalid_value)
+    harness.reader.answer(ReadResult(records=(record,), next_offset=3))
+    assert set(harness.watch.entries) == {"b"}
+    assert len(harness.unreadable) == 1
+    harness.timers.run(400)
+    harness.reader.answer(ReadResult(records=(entry("a"),), next_offset=4))
+    assert set(harness.watch.entries) == {"a", "b"}
 
 
-def test_invalid_new_entry_leaves_the_others(scene):
+def test_invalid_new_entry_leaves_the_others(harness):
     record = StoreRecord(key="z", value=b"\x00")
-    scene.reader.answer(ReadResult(records=(record, entry("c", "m-3")), next_offset=4))
-    assert set(scene.watch.entries) == {"a", "b", "c"}
+    harness.reader.answer(
+        ReadResult(records=(record, entry("c", "m-3")), next_offset=4)
+    )
+    assert set(harness.watch.entries) == {"a", "b", "c"}
--- a/packages/thymefork-net/src/thymefork_net/peers/links.py
+++ b/packages/thymefork-net/src/thymefork_net/peers/links.py
@@ -18,10 +18,10 @@
     The listener has `on_message(link, message)` and `on_link_broken(link)`.
     """
 
-    def __init__(self, *, sockets, instance, life, address, listener):
+    def __init__(self, *, sockets, instance, incarnation, address, listener):
         self.sockets = sockets
         self._hello = Hello(
-            instance=instance, life=life, host=address.host, port=address.port
+            instance=instance, life=incarnation, host=address.host, port=address.port
         )
         self._listener = listener
         self._out = {}
--- a/packages/thymefork-net/src/thymefork_net/tests/test_http.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_http.py
@@ -65,7 +65,7 @@
 
 
 def test_unwanted_calls_open_and_close_no_connections(loop, address, served):
-    """From a review: in an outage each owed stop cost a connection every 60 ms."""
+    """Guards against opening a connection for each retry of an unwanted call."""
     pool = HttpPool(sockets=loop.sockets, timers=loop.timers, max_per_address=1)
     unwanted, answers = [], []
     for _ in range(3):
--- a/packages/thymefork-net/src/thymefork_net/tests/test_links.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_links.py
@@ -34,7 +34,7 @@
         links = Links(
             sockets=loop.sockets,
             instance=name,
-            life="1",
+            incarnation="1",
             address=free_address(),
             listener=listener,
         )
--- a/soak/src/thymefork_soak/faults.py
+++ b/soak/src/thymefork_soak/faults.py
@@ -14,7 +14,7 @@
 
 
 class FaultPlan:
-    """Inject random faults until the given time."""
+    """Inject random faults into the processes and connections of a fleet."""
 
     def __init__(self, *, fleet, random, workers, restarts=None):
         self.history = []
--- a/soak/src/thymefork_soak/standin/log.py
+++ b/soak/src/thymefork_soak/standin/log.py
@@ -61,7 +61,7 @@
 class Group:
     """Assign partitions to members; each change increments the generation."""
 
-    parts: int
+    partition_count: int
     generation: int = 0
     members: dict = field(factory=dict)
     owners: dict = field(factory=dict)
@@ -77,7 +77,9 @@
         member.until_ms = now_ms + ttl_ms
         member.generation = max(generation, member.generation)
         self._assign()
-        return [part for part, owner in self.owners.items() if owner == member_id]
+        return [
+            partition for partition, owner in self.owners.items() if owner == member_id
+        ]
 
     def leave(self, member_id):
         """Remove a member."""
@@ -99,13 +101,15 @@
         """
         names = list(reversed(self.members))
         is_changed = False
-        for part in range(self.parts):
-            assignee = names[part * len(names) // self.parts] if names else ""
-            owner = self.owners.get(part, "")
+        for partition in range(self.partition_count):
+            assignee = (
+                names[partition * len(names) // self.partition_count] if names else ""
+            )
+            owner = self.owners.get(partition, "")
             if owner == assignee:
                 continue
             member = self.members.get(owner)
             if member is None or member.generation >= self.generation:
-                self.owners[part] = assignee
+                self.owners[partition] = assignee
                 is_changed = True
         self.generation += is_changed
--- a/soak/src/thymefork_soak/standin/store.py
+++ b/soak/src/thymefork_soak/standin/store.py
@@ -14,7 +14,7 @@
 __all__ = ["Store"]
 
 APPEND_MS = 4.0
-PARTS = 8
+PARTITION_COUNT = 8
 _LENGTH = struct.Struct("!I")
 _OFFSETS = struct.Struct("!QQ")
 
@@ -122,7 +122,7 @@
             answer(200, raw=_encode(partition, offset))
 
     def _group(self, name):
-        return self._groups.setdefault(name, Group(parts=PARTS))
+        return self._groups.setdefault(name, Group(partition_count=PARTITION_COUNT))
 
     def _log_join(self, request, query, answer):
         body = orjson.loads(request.body)
--- a/soak/src/thymefork_soak/standin/worker.py
+++ b/soak/src/thymefork_soak/standin/worker.py
@@ -13,7 +13,7 @@
 __all__ = ["Worker"]
 
 TICK_MS = 10.0
-# Some long-running tasks fail within this time.
+# Fraction of long-running tasks that fail, and the maximum time until they do.
 LONG_RUNNING_FAIL_SHARE = 0.1
 LONG_RUNNING_MAX_FAIL_MS = 8_000.0
 # A reduced capacity is enforced after a reconnect and a heartbeat.
