--- a/bench/load_simulation.py
+++ b/bench/load_simulation.py
@@ -92,7 +92,7 @@
             for entry in harness.entries
         }
         harness.configuration = self._configuration()
-        harness.allowed = self._allows
+        harness.is_allowed = self._allows
         harness.take_over()
         harness.run(500)
         return harness
@@ -230,7 +230,7 @@
             "worth": sum(map(sum, earned.values())) / sum(map(sum, promised.values())),
             "in_time": sum(in_time) / len(in_time),
             "worst_account": min(shares.values()),
-            "calls": len(self._harness.asked),
+            "calls": len(self._harness.advice_requests),
         }
 
     def _value_of(self, job_id, sent):
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_exchange.py
@@ -45,7 +45,7 @@
         raise TypeError(f"{type(message).__name__} is not a limit part message")
 
     @on_message.register
-    def _on_ask(self, request: RequestParts, *, now_ms):
+    def _on_request(self, request: RequestParts, *, now_ms):
         self._borrower.on_recall(request, now_ms)
         self._lender.on_request(request, now_ms)
 
@@ -54,5 +54,5 @@
         self._borrower.on_grant(grant, now_ms)
 
     @on_message.register
-    def _on_hold(self, hold: ReportHeldParts, *, now_ms):
-        self._lender.on_hold(hold, now_ms)
+    def _on_held_report(self, hold: ReportHeldParts, *, now_ms):
+        self._lender.on_held_report(hold, now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_lender.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_lender.py
@@ -52,7 +52,7 @@
         if request.borrower in waiting and request.borrower not in lent_to:
             self._refuse(request, now_ms)
 
-    def on_hold(self, hold, now_ms):
+    def on_held_report(self, hold, now_ms):
         """Reduce a loan to what the borrower still holds."""
         if not self._is_latest(hold) or self._regrant(hold, now_ms):
             return
--- a/packages/thymefork-cells/src/thymefork_cells/accounts/tests/test_dominant_shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/tests/test_dominant_shares.py
@@ -10,7 +10,7 @@
 from thymefork_cells.context import CellContext
 from thymefork_cells.specs import AccountPolicy, Bounds, Configuration, WorkerEntry
 from thymefork_cells.state import Job, Worker
-from thymefork_cells.tests.virtual_site import job_spec
+from thymefork_cells.tests.harness_defaults import job_spec
 
 CAPACITY = {"cpu_milli": 100_000, "memory_mb": 100_000}
 
--- a/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
+++ b/packages/thymefork-cells/src/thymefork_cells/advice/requester.py
@@ -148,10 +148,13 @@
         The policy does not change, but the service may have omitted workers that were
         new to it.
         """
-        expiry_ms = DENIAL_EXPIRY_MS * 2**step.repeated_requests
-        if step.ready and now_ms - max(step.ready_ms, step.denied_ms) > expiry_ms:
-            step.denied_ms = now_ms
-            step.repeated_requests += 1
+        expiry_ms = DENIAL_EXPIRY_MS * 2**step.denial_reset_count
+        if (
+            step.ready
+            and now_ms - max(step.ready_ms, step.denials_cleared_ms) > expiry_ms
+        ):
+            step.denials_cleared_ms = now_ms
+            step.denial_reset_count += 1
             step.denied.clear()
 
     def _candidates(self, step, workers, wanted, now_ms, permits):
--- a/packages/thymefork-cells/src/thymefork_cells/effects/replies.py
+++ b/packages/thymefork-cells/src/thymefork_cells/effects/replies.py
@@ -26,7 +26,7 @@
 class Reply:
     """Reply to a request; `retry_after_ms` is 0 if unknown."""
 
-    request_id: object
+    reply_to: object
     outcome: Outcome
     job_id: str = ""
     state: str = ""
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/image_durations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/image_durations.py
@@ -87,17 +87,17 @@
         total_ms = self._pace_total_ms(run)
         if total_ms is not None:
             at_listing_ms = total_ms * (100 - run.percent) / 100.0
-            return max(0.0, at_listing_ms - (now_ms - run.listed_ms))
+            return max(0.0, at_listing_ms - (now_ms - run.reported_ms))
         elapsed_ms = max(0.0, now_ms - run.began_ms) if run.began_ms else 0.0
         return max(0.0, self.expected_ms(run.step, run.worker) - elapsed_ms)
 
     def _pace_total_ms(self, run):
         """Return the total duration at the observed pace, or None if unknown."""
-        span_ms = run.listed_ms - run.first_listed_ms
+        span_ms = run.reported_ms - run.first_reported_ms
         first_percent = run.first_percent
         has_known_duration = not run.resumed and not run.started_by_previous_owner
         if span_ms < MIN_SPAN_MS and has_known_duration:
-            span_ms = run.listed_ms - run.began_ms
+            span_ms = run.reported_ms - run.began_ms
             first_percent = 0
         if span_ms < MIN_SPAN_MS or run.percent < 0:
             return None
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/speed_learner.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/speed_learner.py
@@ -46,7 +46,7 @@
             for run in worker.runs.values():
                 if not run.is_speed_learned and _has_measurable_progress(run):
                     run.is_speed_learned = True
-                    span_ms = run.listed_ms - run.began_ms
+                    span_ms = run.reported_ms - run.began_ms
                     self._learn(run, span_ms * 100.0 / run.percent, now_ms)
 
     def _learn(self, run, took_ms, now_ms):
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_image_durations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_image_durations.py
@@ -43,8 +43,8 @@
         began_ms=1.0,
         percent=50,
         first_percent=0,
-        first_listed_ms=1.0,
-        listed_ms=1.0 + after_ms,
+        first_reported_ms=1.0,
+        reported_ms=1.0 + after_ms,
     )
 
 
@@ -56,4 +56,4 @@
     durations.learn("i", 1_000.0)
     run = run_at_half(slowness, 500.0 * slowness)
     assert durations.overrun_factor(run) == pytest.approx(factor)
-    assert (durations.late_ms(run, run.listed_ms) > 0) is (factor > 2.0)
+    assert (durations.late_ms(run, run.reported_ms) > 0) is (factor > 2.0)
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/__init__.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/__init__.py
@@ -3,16 +3,16 @@
 from .codec import (
     JOB_KEY,
     PROGRESS_KEY,
+    decode_ended_job,
+    decode_job,
     decode_progress,
     decode_spec,
+    encode_job,
     encode_progress,
     encode_spec,
-    load_ended_job,
-    load_job,
-    store_job,
 )
 from .inherited_ends import InheritedEnds
-from .intake import STORE_AWAY_RETRY_MS, Intake
+from .intake import STORE_UNAVAILABLE_RETRY_DELAY_MS, Intake
 from .job_loader import JobLoader
 from .journal import Batch, Journal
 from .lifecycle import Lifecycle
@@ -22,7 +22,7 @@
     "ANNOUNCE_AFTER_MS",
     "JOB_KEY",
     "PROGRESS_KEY",
-    "STORE_AWAY_RETRY_MS",
+    "STORE_UNAVAILABLE_RETRY_DELAY_MS",
     "Batch",
     "InheritedEnds",
     "Intake",
@@ -30,11 +30,11 @@
     "Journal",
     "Lifecycle",
     "UnstoredEnds",
+    "decode_ended_job",
+    "decode_job",
     "decode_progress",
     "decode_spec",
+    "encode_job",
     "encode_progress",
     "encode_spec",
-    "load_ended_job",
-    "load_job",
-    "store_job",
 ]
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/codec.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/codec.py
@@ -9,13 +9,13 @@
 __all__ = [
     "JOB_KEY",
     "PROGRESS_KEY",
+    "decode_ended_job",
+    "decode_job",
     "decode_progress",
     "decode_spec",
+    "encode_job",
     "encode_progress",
     "encode_spec",
-    "load_ended_job",
-    "load_job",
-    "store_job",
 ]
 
 JOB_KEY = "j"
@@ -53,7 +53,7 @@
     return StepSpec(**document)
 
 
-def store_job(job, *, epoch_ms, now_ms):
+def encode_job(job, *, epoch_ms, now_ms):
     """Return the record of an accepted job; its times are Unix times."""
     spec = orjson.Fragment(encode_spec(job.spec))
     accepted_epoch_ms = round(epoch_ms - (now_ms - job.accepted_ms))
@@ -63,7 +63,7 @@
     return orjson.dumps(record)
 
 
-def load_ended_job(job_id, progress):
+def decode_ended_job(job_id, progress):
     """Return an ended job without its steps, or None if the job has not ended.
 
     Of ended jobs, which are most of those taken over, only the state is needed.
@@ -81,7 +81,7 @@
     )
 
 
-def load_job(job_id, data, *, usage_of, epoch_ms, now_ms):
+def decode_job(job_id, data, *, usage_of, epoch_ms, now_ms):
     """Return a job from its record; `usage_of` returns the usage of an account."""
     queue_name, accepted_epoch_ms, document, *account = orjson.loads(data)
     account_name = account[0] if account else ""
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
@@ -6,10 +6,10 @@
 from ..state import Job, JobState
 from .codec import decode_spec
 
-__all__ = ["STORE_AWAY_RETRY_MS", "Intake"]
+__all__ = ["STORE_UNAVAILABLE_RETRY_DELAY_MS", "Intake"]
 
 # Retry delay that callers are given while the store is unavailable.
-STORE_AWAY_RETRY_MS = 1_000
+STORE_UNAVAILABLE_RETRY_DELAY_MS = 1_000
 
 
 class Intake:
@@ -21,37 +21,37 @@
         self._quotas = quotas
         self._lifecycle = lifecycle
 
-    def submit(self, request_id, job_id, queue_name, data, *, now_ms, account_name=""):
+    def submit(self, reply_to, job_id, queue_name, data, *, now_ms, account_name=""):
         """Accept a job once its record is stored; repeated ids are idempotent."""
         job = self._context.jobs.get(job_id)
         if job is None:
             spec = decode_spec(data)
             if not self._quotas.can_ever_run(spec, account_name):
-                self._refuse_over_limit(request_id, job_id, account_name)
+                self._refuse_over_limit(reply_to, job_id, account_name)
                 return
             job = self._accept(job_id, queue_name, spec, account_name, now_ms)
         elif _belongs_to_other_account(job, account_name):
-            self._refuse_other_account(request_id, job, account_name)
+            self._refuse_other_account(reply_to, job, account_name)
             return
         elif job.visible_state is not None:
-            self._lifecycle.reply(request_id, Outcome.ACCEPTED)
+            self._lifecycle.reply(reply_to, Outcome.ACCEPTED)
             return
-        reply = Reply(request_id=request_id, outcome=Outcome.ACCEPTED, job_id=job_id)
+        reply = Reply(reply_to=reply_to, outcome=Outcome.ACCEPTED, job_id=job_id)
         self._context.journal.after(reply)
 
-    def _refuse_over_limit(self, request_id, job_id, account_name):
+    def _refuse_over_limit(self, reply_to, job_id, account_name):
         """Refuse a job with a task or gang that exceeds its account's limits."""
         self._context.count("refusals", "over_limit")
         self._context.note("job_over_limit", job=job_id, account=account_name)
-        self._lifecycle.reply(request_id, Outcome.OVER_LIMIT)
+        self._lifecycle.reply(reply_to, Outcome.OVER_LIMIT)
 
-    def _refuse_other_account(self, request_id, job, account_name):
+    def _refuse_other_account(self, reply_to, job, account_name):
         """Refuse a request about another client account's job."""
         self._context.count("refusals", "other_account")
         self._context.note(
             "job_of_other_account", job=job.job_id, asked_by=account_name
         )
-        self._lifecycle.reply(request_id, Outcome.NOT_ALLOWED)
+        self._lifecycle.reply(reply_to, Outcome.NOT_ALLOWED)
 
     def _accept(self, job_id, queue_name, spec, account_name, now_ms):
         first_start_ms = now_ms
@@ -110,7 +110,9 @@
         """Refuse a request in place of a reply whose record could not be stored."""
         self._context.count("refusals", "store_away")
         self._lifecycle.reply(
-            reply.request_id, Outcome.REFUSED, retry_after_ms=STORE_AWAY_RETRY_MS
+            reply.reply_to,
+            Outcome.REFUSED,
+            retry_after_ms=STORE_UNAVAILABLE_RETRY_DELAY_MS,
         )
 
     def _objective_ms(self, job):
@@ -129,37 +131,37 @@
         """Return whether a job with this id is stored or waits to be."""
         return job_id in self._context.jobs
 
-    def read(self, request_id, job_id, *, account_name=""):
+    def read(self, reply_to, job_id, *, account_name=""):
         """Reply with a job's stored state."""
         job = self._context.jobs.get(job_id)
         if job is None or job.visible_state is None:
-            self._lifecycle.reply(request_id, Outcome.UNKNOWN_JOB)
+            self._lifecycle.reply(reply_to, Outcome.UNKNOWN_JOB)
             return
         if _belongs_to_other_account(job, account_name):
-            self._refuse_other_account(request_id, job, account_name)
+            self._refuse_other_account(reply_to, job, account_name)
             return
         state = job.visible_state
         if state is JobState.QUEUED and job.has_started:
             state = JobState.RUNNING
-        self._lifecycle.reply(request_id, Outcome.STATE, state=str(state))
+        self._lifecycle.reply(reply_to, Outcome.STATE, state=str(state))
 
-    def cancel(self, request_id, job_id, *, now_ms, account_name=""):
+    def cancel(self, reply_to, job_id, *, now_ms, account_name=""):
         """Cancel a job; answered once that is stored."""
         job = self._context.jobs.get(job_id)
         if job is None or (job.visible_state and job.visible_state.is_final):
-            self._lifecycle.reply(request_id, Outcome.UNKNOWN_JOB)
+            self._lifecycle.reply(reply_to, Outcome.UNKNOWN_JOB)
             return
         if _belongs_to_other_account(job, account_name):
-            self._refuse_other_account(request_id, job, account_name)
+            self._refuse_other_account(reply_to, job, account_name)
             return
         if job.is_live:
             reason = "its caller cancelled it"
             self._lifecycle.finish(job, JobState.CANCELLED, reason, now_ms=now_ms)
         self._context.journal.mark_changed(job)
-        reply = Reply(request_id=request_id, outcome=Outcome.CANCELLED, job_id=job_id)
+        reply = Reply(reply_to=reply_to, outcome=Outcome.CANCELLED, job_id=job_id)
         self._context.journal.after(reply)
 
-    def count_pending(self, request_id, queue_name):
+    def count_pending(self, reply_to, queue_name):
         """Reply with the number of accepted jobs of a queue that have not started."""
         count = sum(
             1
@@ -168,7 +170,7 @@
             and job.visible_state is not None
             and not job.has_run
         )
-        self._lifecycle.reply(request_id, Outcome.COUNTED, count=count)
+        self._lifecycle.reply(reply_to, Outcome.COUNTED, count=count)
 
 
 def _belongs_to_other_account(job, account_name):
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/job_loader.py
@@ -2,7 +2,7 @@
 
 from attrs import field, frozen
 
-from .codec import JOB_KEY, PROGRESS_KEY, decode_progress, load_ended_job, load_job
+from .codec import JOB_KEY, PROGRESS_KEY, decode_ended_job, decode_job, decode_progress
 from .intake import critical_path_ms
 
 __all__ = ["JobLoader"]
@@ -25,7 +25,7 @@
         """Load all jobs; `records` maps keys to values."""
         for key, value in records.items():
             if key.startswith(PROGRESS_KEY):
-                job = load_ended_job(key.removeprefix(PROGRESS_KEY), value)
+                job = decode_ended_job(key.removeprefix(PROGRESS_KEY), value)
                 if job is not None:
                     self._resume(job, now_ms)
         for key, value in records.items():
@@ -37,7 +37,7 @@
         self._update_shares()
 
     def _load_live_job(self, job_id, value, progress, epoch_ms, now_ms):
-        job = load_job(
+        job = decode_job(
             job_id,
             value,
             usage_of=self._context.usage_of,
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/journal.py
@@ -6,7 +6,7 @@
 
 from ..effects import EndsStored, Reply
 from ..state import JobState
-from .codec import JOB_KEY, PROGRESS_KEY, encode_progress, store_job
+from .codec import JOB_KEY, PROGRESS_KEY, encode_job, encode_progress
 
 __all__ = ["Batch", "Journal"]
 
@@ -199,7 +199,7 @@
         if job.is_over:
             self._delete_spec(batch, job, was_stored=not is_new)
         elif is_new:
-            value = store_job(job, epoch_ms=epoch_ms, now_ms=now_ms)
+            value = encode_job(job, epoch_ms=epoch_ms, now_ms=now_ms)
             batch.add(JOB_KEY + job.job_id, value)
         if job.state is not JobState.QUEUED or job.has_started:
             batch.add(PROGRESS_KEY + job.job_id, encode_progress(job))
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/lifecycle.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/lifecycle.py
@@ -223,7 +223,7 @@
         if queue.advice is not None:
             advice_call_ms = queue.advice.decision_ms
             advice_call_ms += WORKERS_PER_ADVICE_CALL * queue.advice.per_worker_ms
-            critical_path_ms += job.chain_length * advice_call_ms
+            critical_path_ms += job.critical_path_step_count * advice_call_ms
         return queue.stretch * critical_path_ms + queue.target_latency_ms
 
     def stop(self, run, reason, *, now_ms):
@@ -252,7 +252,7 @@
         self._context.pending_stops[run] = None
         self._context.count("retries", "stop_in_vain")
 
-    def reply(self, request_id, outcome, **fields):
+    def reply(self, reply_to, outcome, **fields):
         """Reply to a request at once."""
-        reply = Reply(request_id=request_id, outcome=outcome, **fields)
+        reply = Reply(reply_to=reply_to, outcome=outcome, **fields)
         self._context.emit(reply)
--- a/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/crash_isolation.py
@@ -50,7 +50,7 @@
         Tasks that need isolation wait a while for a worker without other jobs. No
         worker is reserved for them, which would only delay other jobs.
         """
-        if not _need_isolation(tasks, now_ms):
+        if not _any_needs_isolation(tasks, now_ms):
             return workers
         job = step.job
         empty = [worker for worker in workers if not worker.runs_of_others(job)]
@@ -71,7 +71,7 @@
     @staticmethod
     def isolate(task, worker, now_ms):
         """Keep other jobs off a worker while it runs a task that needs isolation."""
-        if not _need_isolation([task], now_ms):
+        if not _any_needs_isolation([task], now_ms):
             return
         until_ms = now_ms + clearing_time_ms(task)
         if worker.isolation is not None and worker.isolation.job is task.step.job:
@@ -90,7 +90,7 @@
         return score
 
 
-def _need_isolation(tasks, now_ms):
+def _any_needs_isolation(tasks, now_ms):
     return any(_needs_isolation(task, now_ms) for task in tasks)
 
 
--- a/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/placer.py
@@ -272,4 +272,4 @@
         return False
     if worker.entry.is_lapsed or worker.is_suspect or worker.entry.cpu_milli <= 0:
         return False
-    return worker.slow_until_ms <= now_ms and worker.health.takes_work(now_ms)
+    return worker.slow_pause_until_ms <= now_ms and worker.health.takes_work(now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/step_order.py
@@ -91,6 +91,6 @@
 
     def _is_behind(self, run, now_ms):
         """Return whether a copy of a run is likely to end before the run itself."""
-        if run.worker.is_silent(now_ms):
+        if run.worker.is_unresponsive(now_ms):
             return True
         return self._durations.late_ms(run, now_ms) > 0
--- a/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_penalty_order.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/tests/test_penalty_order.py
@@ -12,7 +12,7 @@
 from thymefork_cells.placement.crash_isolation import CrashIsolation
 from thymefork_cells.placement.worker_ranking import OTHER_HALL_PENALTY, fit_score
 from thymefork_cells.specs import StepSpec
-from thymefork_cells.state.worker_health import FAILURES_TO_QUARANTINE
+from thymefork_cells.state.worker_health import FAILURES_TO_PAUSE
 
 from .test_speed_scorer import FAST, SLOW, make_scorer, worker
 
@@ -36,7 +36,7 @@
 def test_worker_with_repeated_failures_is_last(
     healthy, failing, left_ms, is_most_urgent
 ):
-    failing_worker = failed(failing, FAILURES_TO_QUARANTINE)
+    failing_worker = failed(failing, FAILURES_TO_PAUSE)
     healthy_score = score(
         SPEC, worker(1, healthy), left_ms, is_most_urgent=is_most_urgent
     )
--- a/packages/thymefork-cells/src/thymefork_cells/placement/worker_ranking.py
+++ b/packages/thymefork-cells/src/thymefork_cells/placement/worker_ranking.py
@@ -2,7 +2,7 @@
 
 import heapq
 
-from ..state.worker_health import FAILURES_TO_QUARANTINE
+from ..state.worker_health import FAILURES_TO_PAUSE
 from .speed_scorer import SPEED_SCORE_RANGE
 
 __all__ = [
@@ -178,7 +178,7 @@
 
 def _fails_repeatedly(worker):
     """Return whether a worker failed too often in a row to be worth its speed."""
-    return worker.health.failures_in_row >= FAILURES_TO_QUARANTINE
+    return worker.health.failures_in_row >= FAILURES_TO_PAUSE
 
 
 def _interferes(spec, worker):
--- a/packages/thymefork-cells/src/thymefork_cells/reports.py
+++ b/packages/thymefork-cells/src/thymefork_cells/reports.py
@@ -9,14 +9,14 @@
 class RunRow:
     """A running task in a worker's report.
 
-    Units: `load` is the tail latency in milliseconds.
+    Units: `tail_ms` is the tail latency in milliseconds.
     """
 
     task: str
     run_id: int
     checkpoint: str
     percent: int
-    load: int = 0
+    tail_ms: int = 0
 
 
 @frozen(kw_only=True)
--- a/packages/thymefork-cells/src/thymefork_cells/state/advice_slots.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/advice_slots.py
@@ -13,23 +13,25 @@
 class AdviceSlots:
     """Count the instances that can make a call now.
 
-    `any_call` counts all of them, `long_call` those that also accept long calls.
+    `free_slots` counts all of them, `free_long_call_slots` those that also accept long calls.
     """
 
-    any_call: int
-    long_call: int
+    free_slots: int
+    free_long_call_slots: int
 
     def has_capacity(self, cost_ms):
         """Return whether an instance is free for a call of this cost."""
-        if self.any_call <= 0:
+        if self.free_slots <= 0:
             return False
-        return cost_ms <= LONG_CALL_MS or self.long_call > 0
+        return cost_ms <= LONG_CALL_MS or self.free_long_call_slots > 0
 
     def take(self, cost_ms):
         """Take a slot for a call; return whether one was free."""
         if not self.has_capacity(cost_ms):
             return False
         is_long = cost_ms > LONG_CALL_MS
-        self.any_call -= 1
-        self.long_call = min(self.long_call - is_long, self.any_call)
+        self.free_slots -= 1
+        self.free_long_call_slots = min(
+            self.free_long_call_slots - is_long, self.free_slots
+        )
         return True
--- a/packages/thymefork-cells/src/thymefork_cells/state/job.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/job.py
@@ -117,7 +117,7 @@
         return longest_ms
 
     @property
-    def chain_length(self):
+    def critical_path_step_count(self):
         """Return the length of the longest chain of dependent steps."""
         lengths = []
         for step in self.spec.steps:
--- a/packages/thymefork-cells/src/thymefork_cells/state/run.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/run.py
@@ -54,9 +54,9 @@
     stop_is_overdue: bool = False
     percent: int = -1
     percent_changed_ms: float = 0.0
-    listed_ms: float = 0.0
+    reported_ms: float = 0.0
     first_percent: int = -1
-    first_listed_ms: float = 0.0
+    first_reported_ms: float = 0.0
     resumed: bool = False
     started_by_previous_owner: bool = False
     is_speed_learned: bool = False
@@ -117,12 +117,12 @@
     @property
     def was_absent(self):
         """Return whether its worker, polled after the start, did not report it."""
-        was_reported = self.listed_ms > 0 or self.confirmed_clock_ms > 0
+        was_reported = self.reported_ms > 0 or self.confirmed_clock_ms > 0
         return not was_reported and 0 < self.began_ms <= self.worker.answered_poll_ms
 
     def may_have_crashed(self, now_ms):
         """Return whether its worker fell silent soon after its start."""
-        if not self.was_sent or not self.worker.is_silent(now_ms):
+        if not self.was_sent or not self.worker.is_unresponsive(now_ms):
             return False
         age_ms = self.age_at_silence_ms(now_ms)
         return age_ms is None or age_ms <= EARLY_LOSS_MS
--- a/packages/thymefork-cells/src/thymefork_cells/state/step_state.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/step_state.py
@@ -38,8 +38,8 @@
     tickets: dict = field(factory=dict)
     allowed: set | None = None
     denied: set = field(factory=set)
-    denied_ms: float = 0.0
-    repeated_requests: int = 0
+    denials_cleared_ms: float = 0.0
+    denial_reset_count: int = 0
     _waiting: list | None = None
     advice_asked: bool = False
     advice_wanted_ms: float = 0.0
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -9,7 +9,7 @@
 # Fences reserved for the incarnations of a worker under one owner.
 FENCES_PER_EPOCH = 1 << 20
 # A suspected worker that doesn't answer a poll for this long is silent.
-SILENT_MS = 100.0
+UNRESPONSIVE_AFTER_MS = 100.0
 # A worker this many times slower than the average counts as faulty.
 FAR_SLOWER_FACTOR = 4.0
 
@@ -18,7 +18,7 @@
 class Worker:
     """Track a worker's capacity, clock, leases and contact.
 
-    `born_epoch_ms` identifies the incarnation, 0 while unknown; `number` counts the
+    `born_epoch_ms` identifies the incarnation, 0 while unknown; `incarnation_number` counts the
     incarnations that this owner tracked before, `tracked_since_ms` is when it began to
     track this one. `has_reported` is set once the worker has reported its runs under
     the present owner's fence; nothing is placed on it before.
@@ -41,7 +41,7 @@
 
     entry: object
     born_epoch_ms: int = 0
-    number: int = 0
+    incarnation_number: int = 0
     tracked_since_ms: float = 0.0
     is_over: bool = False
     held_cpu_milli: int = 0
@@ -69,12 +69,12 @@
     lease_sent_ms: float = 0.0
     extended_lease_until_ms: float = 0.0
     suspected_ms: float = 0.0
-    slow_until_ms: float = 0.0
+    slow_pause_until_ms: float = 0.0
     poll_due_ms: float = 0.0
     is_polling: bool = False
     is_quick_polling: bool = False
-    storing_ends: bool = False
-    heard_end: int = 0
+    is_storing_ends: bool = False
+    received_end: int = 0
     stored_end: int = 0
     acknowledged_end: int = 0
     outdated_reports_in_row: int = 0
@@ -121,7 +121,7 @@
         It rises with each incarnation, so that a new one rejects delayed commands to
         the one before: it does not know the runs that were stopped there.
         """
-        return epoch * FENCES_PER_EPOCH + self.number
+        return epoch * FENCES_PER_EPOCH + self.incarnation_number
 
     @property
     def runs_until_ms(self):
@@ -229,9 +229,9 @@
         """Return whether it has not answered since it, or its hall, fell silent."""
         return self.unanswered_in_row > 0 or self.last_answer_ms < self.suspected_ms
 
-    def is_silent(self, now_ms):
+    def is_unresponsive(self, now_ms):
         """Return whether it was polled as a suspect and did not answer in time."""
         if self.unanswered_in_row:
             return True
         is_suspected = self.last_answer_ms < self.suspected_ms
-        return is_suspected and now_ms - self.suspected_ms > SILENT_MS
+        return is_suspected and now_ms - self.suspected_ms > UNRESPONSIVE_AFTER_MS
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker_health.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker_health.py
@@ -5,7 +5,7 @@
 __all__ = ["WorkerHealth"]
 
 # A single failure may be the task's own fault.
-FAILURES_TO_QUARANTINE = 2
+FAILURES_TO_PAUSE = 2
 # The pause doubles with each further failure.
 INITIAL_PAUSE_MS = 1_500.0
 MAX_PAUSE_MS = 6_000.0
@@ -35,7 +35,7 @@
     def failed(self, now_ms):
         """Record a failed run; return whether the worker is paused for it."""
         self.failures_in_row += 1
-        if not self.on_probation and self.failures_in_row < FAILURES_TO_QUARANTINE:
+        if not self.on_probation and self.failures_in_row < FAILURES_TO_PAUSE:
             return False
         self.pause(now_ms)
         return True
--- a/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/harness.py
@@ -11,10 +11,10 @@
 from thymefork_cells.workers.worker_poller import LEASE_MS
 
 from .command_transport import COMMAND_LATENCY_MS, CommandTransport
+from .harness_defaults import QUEUE, configuration, job_spec, worker_entries, worker_ids
 from .idle_cell_owners import PARTS, IdleCellOwners
 from .machine_faults import MachineFaults
 from .virtual_gangs import VirtualGangs
-from .virtual_site import QUEUE, configuration, job_spec, worker_entries, worker_ids
 from .virtual_worker import START_EPOCH_MS, VirtualWorker
 
 __all__ = ["SHRINK_KNOWN_MS", "START_EPOCH_MS", "Harness", "job_spec"]
@@ -109,8 +109,8 @@
         self.replies = {}
         self.notes = []
         self.counts = Counter()
-        self.asked = []
-        self.allowed = lambda step, worker_id: True
+        self.advice_requests = []
+        self.is_allowed = lambda step, worker_id: True
         self.is_owner_down = False
         self.cell = None
         self.epoch = 0
@@ -251,18 +251,20 @@
 
     def _run_cycles(self, cell):
         while cell is self.cell and not self.is_owner_down:
-            self._turn(cell)
+            self._run_cycle(cell)
             yield self.env.timeout(self.cycle_interval_ms())
 
-    def _decide(self, cell):
+    def _make_decisions(self, cell):
         if self.advisers:
             free = self.advisers.capacity - self.advisers.count
             free -= len(self.advisers.queue)
-            cell.context.advice_slots = AdviceSlots(any_call=free, long_call=free)
+            cell.context.advice_slots = AdviceSlots(
+                free_slots=free, free_long_call_slots=free
+            )
         cell.run_cycle(self.now)
 
-    def _turn(self, cell):
-        self._decide(cell)
+    def _run_cycle(self, cell):
+        self._make_decisions(cell)
         for effect in cell.take_effects():
             self._perform(cell, effect)
         if not self.appending and not cell.journal.is_empty:
@@ -289,7 +291,7 @@
 
     def _perform(self, cell, effect):
         if isinstance(effect, fx.Reply):
-            self.replies[effect.request_id] = effect
+            self.replies[effect.reply_to] = effect
         elif isinstance(effect, fx.Note):
             self.notes.append(effect)
         elif isinstance(effect, fx.Count):
@@ -349,15 +351,15 @@
         if self.advisers:
             with self.advisers.request() as slot:
                 yield slot
-                self.asked.append((effect.step.name, effect.worker_ids))
+                self.advice_requests.append((effect.step.name, effect.worker_ids))
                 yield self.env.timeout(effect.cost_ms)
         else:
-            self.asked.append((effect.step.name, effect.worker_ids))
+            self.advice_requests.append((effect.step.name, effect.worker_ids))
             yield self.env.timeout(effect.cost_ms)
         tickets = {
             worker_id: f"t-{worker_id}"
             for worker_id in effect.worker_ids
-            if self.allowed(effect.step.name, worker_id)
+            if self.is_allowed(effect.step.name, worker_id)
         }
         if self.is_current(cell):
             cell.advice.on_answer(
--- a/packages/thymefork-cells/src/thymefork_cells/tests/heterogeneous_site.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/heterogeneous_harness.py
@@ -7,7 +7,7 @@
 
 from .harness import Harness, job_spec
 
-__all__ = ["BATCH", "FAST", "SLOW", "SMALL", "HeterogeneousSite", "JobShape"]
+__all__ = ["BATCH", "FAST", "SLOW", "SMALL", "HeterogeneousHarness", "JobShape"]
 
 SLOW = 1.0 / 0.7
 FAST = 1.0 / 1.7
@@ -54,7 +54,7 @@
         return super().get(task, usual_ms) * (STRAGGLER_FACTOR if is_straggler else 1.0)
 
 
-class HeterogeneousSite(Harness):
+class HeterogeneousHarness(Harness):
     """Simulate a cell with workers of different speeds."""
 
     def __init__(self, *, seed, slownesses=(SLOW, SLOW, FAST), workers=WORKERS):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_accounts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_accounts.py
@@ -235,8 +235,8 @@
     for number in range(100):
         harness.submit(f"{number:016x}", job_spec(WIDE), account_name="a")
     harness.run(300)
-    asked = {step for step, _ in harness.asked}
-    assert 0 < len(asked) <= 2 + MAX_BLOCKED_STEPS
+    advice_requests = {step for step, _ in harness.advice_requests}
+    assert 0 < len(advice_requests) <= 2 + MAX_BLOCKED_STEPS
 
 
 def test_no_capacity_is_reserved_for_step_blocked_by_limit(make_harness):
@@ -258,4 +258,4 @@
     use_accounts(harness, account(cpu_milli=4_000))
     harness.submit(A, job_spec({**WIDE, "count": 40}), account_name="a")
     harness.run(500)
-    assert max(len(worker_ids) for _, worker_ids in harness.asked) <= 16
+    assert max(len(worker_ids) for _, worker_ids in harness.advice_requests) <= 16
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_advice.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_advice.py
@@ -10,7 +10,7 @@
 
 def test_tasks_run_only_on_allowed_workers(make_harness):
     harness = make_harness(workers=4, advice=POLICY)
-    harness.allowed = lambda step, worker_id: worker_id == "w2"
+    harness.is_allowed = lambda step, worker_id: worker_id == "w2"
     harness.submit(JOB, job_spec({"count": 3, "cpu_milli": 500}))
     harness.run(2_000)
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
@@ -34,17 +34,17 @@
 
 def test_denied_step_is_not_asked_about_repeatedly(make_harness):
     harness = make_harness(workers=2, advice=POLICY)
-    harness.allowed = lambda step, worker_id: False
+    harness.is_allowed = lambda step, worker_id: False
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(5_000)
-    assert len(harness.asked) <= 2
+    assert len(harness.advice_requests) <= 2
 
 
 def test_step_with_one_allowed_worker_is_not_starved(make_harness):
     """Guards against jobs that are due sooner always taking the only worker."""
     policy = {"decision_ms": 20.0, "per_worker_ms": 0.1, "valid_ms": 2_500}
     harness = make_harness(workers=4, advice=policy)
-    harness.allowed = lambda step, worker_id: worker_id == "w0"
+    harness.is_allowed = lambda step, worker_id: worker_id == "w0"
     starved_job = "00000000000000aa"
     step = {"cpu_milli": 6_000, "image": "x"}
     harness.submit(starved_job, job_spec({"count": 2, "estimated_ms": 60_000, **step}))
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_at_scale.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_at_scale.py
@@ -29,7 +29,7 @@
     harness = make_harness(
         workers=WORKERS, cpu_milli=16_000, advice=POLICY, hall=hall_of
     )
-    harness.allowed = lambda step, worker_id: int(worker_id[1:]) % 10 < 7
+    harness.is_allowed = lambda step, worker_id: int(worker_id[1:]) % 10 < 7
     for number in range(JOBS):
         harness.submit(f"{number:016x}", job_spec(STEP))
         harness.run(1_000 / JOBS_A_SECOND)
@@ -46,9 +46,9 @@
 
 
 def test_calls_name_few_workers(loaded):
-    asked = [len(worker_ids) for _, worker_ids in loaded.asked]
-    assert len(asked) <= 2 * JOBS
-    assert max(asked) <= 20
+    advice_requests = [len(worker_ids) for _, worker_ids in loaded.advice_requests]
+    assert len(advice_requests) <= 2 * JOBS
+    assert max(advice_requests) <= 20
 
 
 def test_steps_spread_over_many_workers(loaded):
@@ -109,12 +109,12 @@
 def test_number_of_workers_doubles_with_each_denial():
     workers = workers_of(*[16_000] * 270)
     step = step_of()
-    asked = []
+    advice_requests = []
     for step.denials_in_row in range(5):
         chosen = choose(step, workers, 6, approval_rate=0.7, max_workers=100)
-        asked.append(len(chosen))
-    assert asked == sorted(asked)
-    assert asked[-1] == 100
+        advice_requests.append(len(chosen))
+    assert advice_requests == sorted(advice_requests)
+    assert advice_requests[-1] == 100
 
 
 def test_concurrent_steps_ask_about_different_workers():
@@ -146,7 +146,7 @@
     harness = make_harness(workers=40, cpu_milli=4_000, advice=POLICY)
     harness.submit("00000000000000aa", job_spec(STEP | {"count": 1}))
     harness.run(10)
-    (_, first), *_ = harness.asked
+    (_, first), *_ = harness.advice_requests
     assert len(first) < 20
     for worker_id in first:
         worker = harness.cell.context.workers[worker_id]
@@ -203,14 +203,14 @@
         worker.work_ms = 60_000.0
     running = start_long_running(harness)
     assert len(running) == 4
-    asked_before = len(harness.asked)
+    asked_before = len(harness.advice_requests)
     busy_ids = {worker.worker_id for worker in running.values()}
 
-    def allowed(step, worker_id):
-        first = harness.asked[asked_before][1]
+    def is_allowed(step, worker_id):
+        first = harness.advice_requests[asked_before][1]
         return worker_id in busy_ids or worker_id not in first
 
-    harness.allowed = allowed
+    harness.is_allowed = is_allowed
     (task, worker), *_ = running.items()
     busy_ids.discard(worker.worker_id)
     ((key),) = [key for key in worker.running if key[0] == task]
@@ -226,10 +226,10 @@
     harness = make_harness(workers=60, cpu_milli=4_000, advice=POLICY, max_attempts=2)
     harness.submit("00000000000000aa", job_spec(STEP | {"count": 1}))
     harness.run(10)
-    (_, first), *_ = harness.asked
+    (_, first), *_ = harness.advice_requests
     failing = first[0]
     harness.workers[failing].fails_all = True
-    harness.allowed = lambda step, worker_id: (
+    harness.is_allowed = lambda step, worker_id: (
         worker_id == failing or worker_id not in first
     )
     harness.run(3_000)
@@ -241,7 +241,7 @@
     """Guards against many small calls under a strict policy."""
     workers = workers_of(*[16_000] * 270)
     step = step_of()
-    asked = [
+    advice_requests = [
         len(
             choose(
                 step,
@@ -254,4 +254,8 @@
         )
         for waited_ms in (0.0, 600.0, 1_100.0, 1_600.0, 2_600.0)
     ]
-    assert asked[0] == 8 and asked == sorted(asked) and asked[-1] == 100
+    assert (
+        advice_requests[0] == 8
+        and advice_requests == sorted(advice_requests)
+        and advice_requests[-1] == 100
+    )
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_backlog.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_advice_backlog.py
@@ -21,7 +21,9 @@
     harness = make_harness(
         workers=WORKERS, cpu_milli=32_000, advice=POLICY, advisers=advisers
     )
-    harness.allowed = lambda step, worker_id: (hash_of(step) + int(worker_id[1:])) % 3
+    harness.is_allowed = lambda step, worker_id: (
+        (hash_of(step) + int(worker_id[1:])) % 3
+    )
     for worker in harness.workers.values():
         worker.work_ms = 3_000
     for number in range(jobs):
@@ -75,12 +77,12 @@
 
 
 def test_short_calls_have_reserved_slots():
-    slots = AdviceSlots(any_call=2, long_call=1)
+    slots = AdviceSlots(free_slots=2, free_long_call_slots=1)
     taken = [slots.take(cost_ms) for cost_ms in (900.0, 900.0, 30.0, 30.0)]
     assert taken == [True, False, True, False]
 
 
 def test_short_calls_use_slots_of_long_calls():
-    slots = AdviceSlots(any_call=2, long_call=2)
+    slots = AdviceSlots(free_slots=2, free_long_call_slots=2)
     taken = [slots.take(cost_ms) for cost_ms in (30.0, 900.0, 900.0)]
     assert taken == [True, True, False]
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_dominant_shares.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_dominant_shares.py
@@ -77,83 +77,83 @@
 
 def run_twenty_accounts(make_harness, seed, floods=FLOODS, meanwhile=None):
     """Submit a job per second for each account, more for flooding ones."""
-    site = FairnessSimulation(make_harness, WEIGHTS)
+    simulation = FairnessSimulation(make_harness, WEIGHTS)
     rng = random.Random(seed)
     for tenth in range(100):
         for name in WEIGHTS:
             rate = 1.0 * (floods.get(name, 1) if 20 <= tenth < 70 else 1)
             for _ in range(int(rate / 10 + rng.random())):
-                site.send(name, min(24, 1 + int(rng.expovariate(1 / 3.0))))
-        site.run(100)
+                simulation.send(name, min(24, 1 + int(rng.expovariate(1 / 3.0))))
+        simulation.run(100)
         if meanwhile and tenth == 45:
-            meanwhile(site)
-    site.run(3_000)
-    return site
+            meanwhile(simulation)
+    simulation.run(3_000)
+    return simulation
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_floods_do_not_delay_accounts_within_their_share(make_harness, seed):
-    site = run_twenty_accounts(make_harness, seed)
-    worst = min(site.in_time(name, 2 * WORK_MS + 400) for name in WEIGHTS)
+    simulation = run_twenty_accounts(make_harness, seed)
+    worst = min(simulation.in_time(name, 2 * WORK_MS + 400) for name in WEIGHTS)
     assert worst >= 0.8
-    assert max(site.longest_wait_ms.values()) < 3_000
+    assert max(simulation.longest_wait_ms.values()) < 3_000
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_shares_hold_after_a_takeover(make_harness, seed):
     """The new owner does not know the past usage of the accounts."""
-    site = run_twenty_accounts(
-        make_harness, seed, meanwhile=lambda site: fail_over(site)
+    simulation = run_twenty_accounts(
+        make_harness, seed, meanwhile=lambda simulation: fail_over(simulation)
     )
-    worst = min(site.in_time(name, 2 * WORK_MS + 1_400) for name in WEIGHTS)
+    worst = min(simulation.in_time(name, 2 * WORK_MS + 1_400) for name in WEIGHTS)
     assert worst >= 0.8
-    assert max(site.longest_wait_ms.values()) < 3_000
+    assert max(simulation.longest_wait_ms.values()) < 3_000
 
 
-def fail_over(site):
-    site.harness.is_owner_down = True
-    site.run(300)
-    site.harness.take_over()
+def fail_over(simulation):
+    simulation.harness.is_owner_down = True
+    simulation.run(300)
+    simulation.harness.take_over()
 
 
-def overload(site, for_ms, meanwhile=None, width=40, jobs=1):
+def overload(simulation, for_ms, meanwhile=None, width=40, jobs=1):
     """Overload the cell with wide jobs of one account and small jobs of another."""
     for step in range(int(for_ms // 200)):
         for _ in range(jobs * 40 // width):
-            site.send("wide", width)
+            simulation.send("wide", width)
         for _ in range(14):
-            site.send("small", 3)
-        site.run(200)
+            simulation.send("small", 3)
+        simulation.run(200)
         if meanwhile and step == 10:
-            meanwhile(site)
+            meanwhile(simulation)
 
 
 @pytest.mark.parametrize("meanwhile", [None, fail_over])
 def test_wide_jobs_get_no_more_than_small_ones(make_harness, meanwhile):
-    site = FairnessSimulation(make_harness, {"wide": 0.1, "small": 0.1})
-    overload(site, 6_000, meanwhile, jobs=3)
-    held = site.mean_held("wide", 60), site.mean_held("small", 60)
+    simulation = FairnessSimulation(make_harness, {"wide": 0.1, "small": 0.1})
+    overload(simulation, 6_000, meanwhile, jobs=3)
+    held = simulation.mean_held("wide", 60), simulation.mean_held("small", 60)
     assert sum(held) > 0.85  # no capacity stays idle under load
     assert min(held) > 0.35
 
 
 def test_capacity_is_divided_by_weight(make_harness):
-    site = FairnessSimulation(make_harness, {"wide": 0.05, "small": 0.15})
-    overload(site, 8_000, width=10)
-    ratio = site.mean_held("small", 80) / site.mean_held("wide", 80)
+    simulation = FairnessSimulation(make_harness, {"wide": 0.05, "small": 0.15})
+    overload(simulation, 8_000, width=10)
+    ratio = simulation.mean_held("small", 80) / simulation.mean_held("wide", 80)
     assert 2.0 < ratio < 4.5
 
 
 def test_idle_share_is_used_by_others_and_recovers_in_3_s(make_harness):
-    site = FairnessSimulation(make_harness, {"wide": 0.1, "small": 0.1})
+    simulation = FairnessSimulation(make_harness, {"wide": 0.1, "small": 0.1})
     for _ in range(20):
-        site.send("wide", 40)
-        site.run(200)
-    assert site.mean_held("wide", 20) > 0.85
-    overload(site, 3_000)
-    assert site.mean_held("small", 60) > 0.4
-    overload(site, 5_000)  # idle time earns no credit
-    assert 0.35 < site.mean_held("wide", 50) < 0.65
+        simulation.send("wide", 40)
+        simulation.run(200)
+    assert simulation.mean_held("wide", 20) > 0.85
+    overload(simulation, 3_000)
+    assert simulation.mean_held("small", 60) > 0.4
+    overload(simulation, 5_000)  # idle time earns no credit
+    assert 0.35 < simulation.mean_held("wide", 50) < 0.65
 
 
 POLICY = {"decision_ms": 60.0, "per_worker_ms": 1.0, "valid_ms": 2_500.0}
@@ -163,21 +163,21 @@
 def test_account_beyond_its_share_does_not_starve(make_harness, fields):
     """Other accounts use all capacity and advice calls within their shares."""
     weights = {f"b{number}": 50.0 for number in range(4)} | {"a": 0.1}
-    site = FairnessSimulation(make_harness, weights, workers=4, **fields)
+    simulation = FairnessSimulation(make_harness, weights, workers=4, **fields)
     queue = "q" if fields else "batch"  # only the urgent queue has a policy
     for _ in range(40):
         for number in range(4):
-            site.send(f"b{number}", 4)
-        site.send("a", 2, queue=queue)
-        site.run(200)
-    assert site.longest_wait_ms["a"] < 3_000
+            simulation.send(f"b{number}", 4)
+        simulation.send("a", 2, queue=queue)
+        simulation.run(200)
+    assert simulation.longest_wait_ms["a"] < 3_000
 
 
 def test_logs_and_counters_show_share_decisions(make_harness):
-    site = FairnessSimulation(make_harness, {"wide": 0.1, "small": 0.1})
-    overload(site, 3_000)
-    counts = site.harness.counts
+    simulation = FairnessSimulation(make_harness, {"wide": 0.1, "small": 0.1})
+    overload(simulation, 3_000)
+    counts = simulation.harness.counts
     assert counts["within_share"] > 0
     assert counts["beyond_share"] > 0
-    notes = [note for note in site.harness.notes if note.event == "tasks_start"]
+    notes = [note for note in simulation.harness.notes if note.event == "tasks_start"]
     assert any(note.fields["account_uses"] > 0.2 for note in notes)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_faults.py
@@ -151,7 +151,7 @@
     accepted = [r for r in harness.replies.values() if r.outcome is Outcome.ACCEPTED]
     assert accepted
     for reply in accepted:
-        assert harness.job(reply.request_id).visible_state is JobState.SUCCEEDED
+        assert harness.job(reply.reply_to).visible_state is JobState.SUCCEEDED
 
 
 def _assert_no_task_runs_twice(harness):
@@ -191,10 +191,10 @@
 def test_advice_for_denied_worker_is_requested_again(make_harness):
     advice = {"decision_ms": 50.0, "per_worker_ms": 1.0, "valid_ms": 2_500.0}
     harness = make_harness(workers=2, advice=advice)
-    harness.allowed = lambda step, worker_id: False
+    harness.is_allowed = lambda step, worker_id: False
     harness.submit(JOB, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(1_000)
-    harness.allowed = lambda step, worker_id: True
+    harness.is_allowed = lambda step, worker_id: True
     harness.run(9_000)
     assert harness.job(JOB).visible_state is JobState.SUCCEEDED
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
@@ -11,7 +11,7 @@
 from thymefork_cells.estimates import LearnedSpeed
 
 from .harness import job_spec
-from .heterogeneous_site import FAST, HeterogeneousSite
+from .heterogeneous_harness import FAST, HeterogeneousHarness
 
 SEEDS = (1, 2, 3, 4)
 SMALL_GAP_MS = 133.0
@@ -21,7 +21,7 @@
 SETTLE_MS = 15_000.0
 
 
-class RecordingSite(HeterogeneousSite):
+class RecordingHarness(HeterogeneousHarness):
     """Record for each start whether a fast worker had capacity and was used."""
 
     def __init__(self, **fields):
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_urgent_jobs_start_on_fast_workers(seed):
-    site = RecordingSite(seed=seed)
+    site = RecordingHarness(seed=seed)
     site.load(LEARN_MS, small=SMALL_GAP_MS)
     sent = set(site.load(LOAD_MS, small=SMALL_GAP_MS))
     site.run(SETTLE_MS)
@@ -84,11 +84,11 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_batch_jobs_leave_fast_workers_to_urgent_jobs(seed):
-    site = RecordingSite(seed=seed)
+    site = RecordingHarness(seed=seed)
     small, batch = run_mixed_load(site)
     assert site.share_on_fast(small) >= 0.8
     assert site.share_on_fast(batch) <= 0.5
-    without_learning = RecordingSite(seed=seed)
+    without_learning = RecordingHarness(seed=seed)
     disable_learning(without_learning)
     small_then, batch_then = run_mixed_load(without_learning)
     assert site.fraction_on_time(small) >= without_learning.fraction_on_time(small_then)
@@ -102,7 +102,7 @@
     """On homogeneous workers, placement must not depend on learned speeds."""
     starts = []
     for learns in (True, False):
-        site = HeterogeneousSite(seed=5, slownesses=(1.0,))
+        site = HeterogeneousHarness(seed=5, slownesses=(1.0,))
         if not learns:
             disable_learning(site)
         site.load(LOAD_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
@@ -120,9 +120,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_slow_workers_do_not_count_as_failing(seed):
     """Guards against moving runs that merely run on a slow worker."""
-    site = HeterogeneousSite(seed=seed)
+    site = HeterogeneousHarness(seed=seed)
     run_mixed_load(site)
-    without_learning = HeterogeneousSite(seed=seed)
+    without_learning = HeterogeneousHarness(seed=seed)
     disable_learning(without_learning)
     run_mixed_load(without_learning)
     assert 3 * moved_from_slow(site) < moved_from_slow(without_learning)
@@ -134,7 +134,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_temporarily_slow_workers_are_paused_but_not_learned(seed):
-    site = HeterogeneousSite(seed=seed)
+    site = HeterogeneousHarness(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     slowed = [name for name in site.workers if site.is_fast(name)][:4]
     slowed_workers = [site.cell.context.workers[name] for name in slowed]
@@ -158,7 +158,7 @@
 @pytest.mark.parametrize("is_announced", [True, False])
 def test_new_owner_uses_announced_speeds_at_once(is_announced):
     """Without announcements, the new owner learns the speeds again."""
-    site = RecordingSite(seed=7)
+    site = RecordingHarness(seed=7)
     site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     fast = {f"m-{name}" for name in site.workers if site.is_fast(name)}
     assert len(fast & site.announced_speeds.keys()) >= 6
@@ -179,7 +179,7 @@
 
 
 def test_cell_runs_on_without_workers():
-    site = HeterogeneousSite(seed=7)
+    site = HeterogeneousHarness(seed=7)
     site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     assert site.cell.speeds.is_heterogeneous
     site.run(30_000.0)
@@ -192,7 +192,7 @@
 
 def test_speeds_are_kept_while_cell_is_idle():
     """Variance grows meanwhile, but machines stay the same."""
-    site = RecordingSite(seed=7)
+    site = RecordingHarness(seed=7)
     site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(300_000.0)
     first = set(site.load(3_000.0, small=SMALL_GAP_MS))
@@ -200,14 +200,14 @@
 
 
 def test_restarted_worker_keeps_its_speed():
-    site = HeterogeneousSite(seed=8)
+    site = HeterogeneousHarness(seed=8)
     site.load(8_000.0, small=SMALL_GAP_MS)
     name = next(name for name in site.workers if site.is_fast(name))
     before = site.cell.context.workers[name].slowness
     site.restart(site.workers[name], away_ms=1_000.0)
     site.load(4_000.0, small=SMALL_GAP_MS)
     again = site.cell.context.workers[name]
-    assert again.number
+    assert again.incarnation_number
     assert again.slowness == pytest.approx(before, rel=0.25)
 
 
@@ -217,7 +217,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_far_slower_machine_gets_no_work(seed):
     """A previous owner announced its speed; others have capacity."""
-    site = HeterogeneousSite(seed=seed)
+    site = HeterogeneousHarness(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     far_slower = next(name for name in site.workers if not site.is_fast(name))
     machine = f"m-{far_slower}"
@@ -240,7 +240,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_gang_with_tight_objective_uses_fast_workers_only(seed):
     """A gang ends with its slowest member."""
-    site = HeterogeneousSite(seed=seed)
+    site = HeterogeneousHarness(seed=seed)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(10_000.0)
     step = {
@@ -260,7 +260,7 @@
 
 def test_gang_members_share_the_slowest_slowness():
     """All members end with the slowest one, whose slowness applies to each."""
-    site = HeterogeneousSite(seed=1)
+    site = HeterogeneousHarness(seed=1)
     site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.run(10_000.0)
     step = {
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_job_cancellation.py
@@ -133,11 +133,13 @@
     for job_id in ids:
         harness.submit(job_id, job_spec({"count": 1, "cpu_milli": 500}))
     harness.run(250)  # the first call is in flight
-    asked = len(harness.asked)
+    advice_requests = len(harness.advice_requests)
     for job_id in ids[1:-1]:
         harness.cell.intake.cancel(job_id, job_id, now_ms=harness.now)
     harness.run(5_000)
-    steps = {step.split(".")[0] for step, _ in harness.asked[asked:]}
+    steps = {
+        step.split(".")[0] for step, _ in harness.advice_requests[advice_requests:]
+    }
     assert not steps & set(ids[1:-1])
     assert harness.job(ids[-1]).visible_state is JobState.SUCCEEDED
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_measured_work.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_measured_work.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from .heterogeneous_site import SLOW, HeterogeneousSite
+from .heterogeneous_harness import SLOW, HeterogeneousHarness
 
 
 def ended_line(site, job_id):
@@ -12,7 +12,7 @@
 
 
 def run_load(slownesses, *, seed=3):
-    site = HeterogeneousSite(seed=seed, slownesses=slownesses)
+    site = HeterogeneousHarness(seed=seed, slownesses=slownesses)
     site.load(8_000.0, small=133.0, batch=700.0)
     sent = site.load(12_000.0, small=133.0, batch=700.0)
     site.run(15_000.0)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_pending_counts.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_pending_counts.py
@@ -8,7 +8,7 @@
 from thymefork_cells.effects import Outcome, StartRun
 
 from .harness import job_spec
-from .virtual_site import QUEUE
+from .harness_defaults import QUEUE
 
 JOBS = [f"{number:016x}" for number in range(5)]
 
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_reservations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_reservations.py
@@ -2,7 +2,7 @@
 
 from .harness import job_spec
 
-GANG = "00000000000000aa"
+JOB = "00000000000000aa"
 SINGLE = {"count": 1, "cpu_milli": 1_000, "estimated_ms": 800}
 PERIOD_MS = 220
 
@@ -15,14 +15,14 @@
 
 
 def gang_starts(harness):
-    return [harness.starts_of(f"{GANG}.0.0.{index}") for index in range(2)]
+    return [harness.starts_of(f"{JOB}.0.0.{index}") for index in range(2)]
 
 
 def test_gang_is_not_starved_by_single_tasks(make_harness):
     harness = make_harness(workers=2, cpu_milli=3_000)
     submit_stream(harness, for_ms=2_000)
     wide_gang = {"count": 2, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
-    harness.submit(GANG, job_spec(wide_gang))
+    harness.submit(JOB, job_spec(wide_gang))
     submit_stream(harness, for_ms=6_000)
     assert all(gang_starts(harness))
 
@@ -37,7 +37,7 @@
     for worker in harness.workers.values():
         worker.work_ms = 800.0
     wide_gang = {"count": 2, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
-    harness.submit(GANG, job_spec(wide_gang))
+    harness.submit(JOB, job_spec(wide_gang))
     harness.run(2_500)
     harness.submit("c" * 16, job_spec(SINGLE))
     harness.run(300)
@@ -48,7 +48,7 @@
 def test_gang_that_never_fits_blocks_no_others(make_harness):
     harness = make_harness(workers=2, cpu_milli=3_000)
     wide_gang = {"count": 3, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
-    harness.submit(GANG, job_spec(wide_gang))
+    harness.submit(JOB, job_spec(wide_gang))
     harness.run(3_000)
     harness.submit("c" * 16, job_spec(SINGLE | {"estimated_ms": 60_000}))
     harness.run(300)
@@ -58,7 +58,7 @@
 def do_others_starve(harness):
     """Let a gang wait for a reservation; return whether other tasks starve."""
     wide_gang = {"count": 2, "cpu_milli": 3_000, "estimated_ms": 800, "gang": True}
-    harness.submit(GANG, job_spec(wide_gang))
+    harness.submit(JOB, job_spec(wide_gang))
     harness.run(6_000)
     assert not any(gang_starts(harness))
     harness.submit("c" * 16, job_spec(SINGLE | {"estimated_ms": 60_000}))
@@ -89,18 +89,18 @@
 def test_large_task_is_not_starved_by_small_ones(make_harness):
     harness = make_harness(workers=1, cpu_milli=3_000)
     submit_stream(harness, for_ms=1_000)
-    harness.submit(GANG, job_spec(LARGE | {"estimated_ms": 400}))
-    harness.job(GANG).objective_ms = harness.now + 1_750
+    harness.submit(JOB, job_spec(LARGE | {"estimated_ms": 400}))
+    harness.job(JOB).objective_ms = harness.now + 1_750
     submit_stream(harness, for_ms=2_500)
-    assert harness.starts_of(f"{GANG}.0.0.0")
+    assert harness.starts_of(f"{JOB}.0.0.0")
 
 
 def test_late_large_task_gets_no_reservation(make_harness):
     """Guards against idle reserved workers under overload."""
     harness = make_harness(workers=1, cpu_milli=3_000)
     submit_stream(harness, for_ms=1_000)
-    harness.submit(GANG, job_spec(LARGE))
-    harness.job(GANG).objective_ms = harness.now
+    harness.submit(JOB, job_spec(LARGE))
+    harness.job(JOB).objective_ms = harness.now
     harness.run(300)
     harness.submit("c" * 16, job_spec(SINGLE | {"estimated_ms": 9_000}))
     harness.run(100)
@@ -122,20 +122,20 @@
 def test_large_tasks_of_several_jobs_get_reservations(make_harness):
     harness = make_harness(workers=2, cpu_milli=3_000)
     occupy_workers(harness, 2_000)
-    for job_id in (GANG, "d" * 16):
+    for job_id in (JOB, "d" * 16):
         harness.submit(job_id, job_spec(LARGE), queue="batch")
     harness.run(400)
     harness.submit("c" * 16, job_spec(SINGLE | {"estimated_ms": 9_000}), queue="batch")
     harness.run(400)
     assert not harness.starts_of(f"{'c' * 16}.0.0.0")
     harness.run(8_000)
-    assert harness.starts_of(f"{GANG}.0.0.0") and harness.starts_of(f"{'d' * 16}.0.0.0")
+    assert harness.starts_of(f"{JOB}.0.0.0") and harness.starts_of(f"{'d' * 16}.0.0.0")
 
 
 def test_more_urgent_step_uses_reserved_worker(make_harness):
     harness = make_harness(workers=1, cpu_milli=3_000)
     occupy_workers(harness, 2_000)
-    harness.submit(GANG, job_spec(LARGE), queue="batch")
+    harness.submit(JOB, job_spec(LARGE), queue="batch")
     harness.run(400)
     harness.submit("c" * 16, job_spec(SINGLE))
     harness.run(300)
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_run_ends_in_outages.py
@@ -44,8 +44,8 @@
     for worker_id in worker_ids:
         worker = harness.workers[worker_id]
         worker.advance(harness.now)
-        heard_end = harness.cell.context.workers[worker_id].heard_end
-        unreported = {row.task for row in worker.ended if row.number > heard_end}
+        received_end = harness.cell.context.workers[worker_id].received_end
+        unreported = {row.task for row in worker.ended if row.number > received_end}
         unreported |= {task for task, _ in worker.running}
         affected |= {task.split(".")[0] for task in unreported}
         worker.running.clear()
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_unknown_speeds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_unknown_speeds.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from .test_heterogeneous_workers import BATCH_GAP_MS, SMALL_GAP_MS, RecordingSite
+from .test_heterogeneous_workers import BATCH_GAP_MS, SMALL_GAP_MS, RecordingHarness
 
 EXPLORE_MS = 12_000.0
 LOAD_MS = 8_000.0
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_small_jobs_find_fast_workers_after_takeover(seed):
-    site = RecordingSite(seed=seed)
+    site = RecordingHarness(seed=seed)
     site.load(EXPLORE_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     site.announced_speeds.clear()
     site.is_owner_down = True
--- a/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/virtual_worker.py
@@ -202,7 +202,7 @@
                 run_id=run.run_id,
                 checkpoint="",
                 percent=self._percent(run, now_ms),
-                load=self.tail_ms,
+                tail_ms=self.tail_ms,
             )
             for run in self.running.values()
         )
--- a/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/commands.py
@@ -102,7 +102,7 @@
             return "gang_incomplete"
         if any(member.state is RunState.STOPPING for member in members):
             return "gang_stopped"
-        if any(member.worker.is_silent(now_ms) for member in members):
+        if any(member.worker.is_unresponsive(now_ms) for member in members):
             return "worker_silent"
         return ""
 
--- a/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/incarnations.py
@@ -34,25 +34,29 @@
         self._extended_leases = extended_leases
         self._numbers = {}  # (start, number) of the latest incarnation by worker id
 
-    def number(self, worker_id, born_epoch_ms):
+    def incarnation_number(self, worker_id, born_epoch_ms):
         """Return the number of a worker's incarnation, counted from 0 by this owner.
 
         Numbers outlive the worker's record: the same incarnation would reject the lower
         fence of a lower number.
         """
-        born_before_ms, number = self._numbers.pop(worker_id, (born_epoch_ms, 0))
+        born_before_ms, incarnation_number = self._numbers.pop(
+            worker_id, (born_epoch_ms, 0)
+        )
         if born_before_ms != born_epoch_ms:
-            number += 1
-        self._numbers[worker_id] = (born_epoch_ms, number)
+            incarnation_number += 1
+        self._numbers[worker_id] = (born_epoch_ms, incarnation_number)
         while len(self._numbers) > MAX_REMEMBERED_WORKERS:
             del self._numbers[next(iter(self._numbers))]
-        return number
+        return incarnation_number
 
     def match(self, worker, born_epoch_ms):
         """Return how the incarnation with this start relates to the tracked one."""
         if not worker.born_epoch_ms and not worker.answered_poll_ms:
             worker.born_epoch_ms = born_epoch_ms  # first known start
-            worker.number = self.number(worker.worker_id, born_epoch_ms)
+            worker.incarnation_number = self.incarnation_number(
+                worker.worker_id, born_epoch_ms
+            )
         if born_epoch_ms == worker.born_epoch_ms:
             return IncarnationMatch.SAME
         if born_epoch_ms > worker.born_epoch_ms:
@@ -91,7 +95,7 @@
             worker=worker.worker_id,
             born_epoch_ms=born_epoch_ms,
             was_born_epoch_ms=worker.born_epoch_ms,
-            heard_end=worker.heard_end,
+            received_end=worker.received_end,
             runs=len(worker.runs),
         )
         worker.is_over = True
@@ -109,12 +113,12 @@
         A delayed start command may still be carried out by the next incarnation.
         """
         sent = [run for run in worker.runs.values() if run.was_sent]
-        reported = [run for run in sent if run.listed_ms]
+        reported = [run for run in sent if run.reported_ms]
         # Evaluated while the runs beside them are still on the worker.
         carried = [
             (run, self._losses.loss_of(run, now_ms))
             for run in sent
-            if not run.listed_ms
+            if not run.reported_ms
         ]
         if reported:
             self._context.count("run_ends", "worker_restarted", len(reported))
@@ -132,7 +136,7 @@
         successor = Worker(
             entry=entry,
             born_epoch_ms=born_epoch_ms,
-            number=self.number(worker.worker_id, born_epoch_ms),
+            incarnation_number=self.incarnation_number(worker.worker_id, born_epoch_ms),
             tracked_since_ms=now_ms,
             is_listed=worker.is_listed,
             unlisted_since_ms=worker.unlisted_since_ms,
--- a/packages/thymefork-cells/src/thymefork_cells/workers/progress_monitor.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/progress_monitor.py
@@ -36,17 +36,17 @@
 
     def _check_speed(self, worker, now_ms):
         """Pause a worker whose runs take far longer than expected."""
-        if now_ms < worker.slow_until_ms:
+        if now_ms < worker.slow_pause_until_ms:
             return
         overruns = [
             self._durations.overrun_factor(run)
             for run in worker.runs.values()
             if run.state is RunState.LIVE
-            and run.listed_ms > now_ms - MAX_PROGRESS_AGE_MS
+            and run.reported_ms > now_ms - MAX_PROGRESS_AGE_MS
         ]
         overruns = sorted(factor for factor in overruns if factor is not None)
         if len(overruns) >= 2 and overruns[len(overruns) // 2] > SLOW_FACTOR:
-            worker.slow_until_ms = now_ms + SLOW_WORKER_PAUSE_MS
+            worker.slow_pause_until_ms = now_ms + SLOW_WORKER_PAUSE_MS
             self._context.count("workers_paused", "slow")
             self._context.note(
                 "worker_slow",
@@ -59,7 +59,10 @@
         """Return whether a run would end sooner if it were restarted elsewhere."""
         if run.state is not RunState.LIVE or run.step.gang or run.step.speculative:
             return False
-        if run.listed_ms < now_ms - MAX_PROGRESS_AGE_MS or not run.worker.slow_until_ms:
+        if (
+            run.reported_ms < now_ms - MAX_PROGRESS_AGE_MS
+            or not run.worker.slow_pause_until_ms
+        ):
             return False
         return self._durations.late_ms(run, now_ms) > 0
 
@@ -88,7 +91,7 @@
         usual_ms = self._durations.expected_ms(run.step, run.worker)
         stall_timeout_ms = max(MIN_STALL_MS, STALL_FRACTION * usual_ms)
         stall_timeout_ms *= 2**run.task.stalls
-        return run.listed_ms - run.percent_changed_ms > stall_timeout_ms
+        return run.reported_ms - run.percent_changed_ms > stall_timeout_ms
 
     def _stop_stalled(self, run, now_ms):
         run.task.avoided_workers.add(run.worker.worker_id)
@@ -101,6 +104,6 @@
             run=run.run_id,
             worker=run.worker.worker_id,
             percent=run.percent,
-            for_ms=round(run.listed_ms - run.percent_changed_ms),
+            for_ms=round(run.reported_ms - run.percent_changed_ms),
         )
         self._lifecycle.stop(run, "its progress has stalled", now_ms=now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/run_reconciler.py
@@ -24,11 +24,11 @@
         """Apply the run ends that are new; return whether there were any."""
         heard = False
         for row in report.ended:
-            if row.number <= worker.heard_end:
+            if row.number <= worker.received_end:
                 self._log_skipped(worker, row)
                 continue
             heard = True
-            worker.heard_end = row.number
+            worker.received_end = row.number
             worker.orphaned_runs.discard((row.task, row.run_id))
             run = worker.runs.get((row.task, row.run_id))
             if run is not None:
@@ -51,7 +51,7 @@
             worker=worker.worker_id,
             how=row.how,
             number=row.number,
-            heard_end=worker.heard_end,
+            received_end=worker.received_end,
         )
 
     def apply_running(self, worker, report, now_ms):
@@ -81,7 +81,7 @@
         self._context.emit(StopRun(run=OrphanedRun(worker=worker, key=key)))
 
     def _update(self, run, row, clock_ms, now_ms):
-        run.listed_ms = now_ms
+        run.reported_ms = now_ms
         if run.state in (RunState.SENT, RunState.RECOVERED):
             self._confirm(run)
             run.confirmed_clock_ms = clock_ms
@@ -100,11 +100,11 @@
         if run.task.losses:
             self._losses.on_run_reported(run, now_ms)
         if run.first_percent < 0:
-            run.first_percent, run.first_listed_ms = row.percent, now_ms
+            run.first_percent, run.first_reported_ms = row.percent, now_ms
         if row.percent != run.percent:
             run.percent = row.percent
             run.percent_changed_ms = now_ms
-        run.tail_ms = row.load
+        run.tail_ms = row.tail_ms
 
     def _confirm(self, run):
         """Mark a run as confirmed by its worker, maybe by a newer incarnation."""
@@ -126,7 +126,7 @@
         """Release the runs that the worker neither runs nor can start any more."""
         lost_runs = []
         for run in list(worker.runs.values()):
-            if run.listed_ms == now_ms:
+            if run.reported_ms == now_ms:
                 continue
             if run.is_suspect and run.suspected_ms <= answered_poll_ms:
                 self._lifecycle.stop(run, UNANSWERED_START_REASON, now_ms=now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
@@ -108,7 +108,7 @@
         While run ends are being stored, a poll would only report them again, so it
         waits until the leases have to be renewed.
         """
-        if not worker.storing_ends:
+        if not worker.is_storing_ends:
             return worker.poll_due_ms
         return max(worker.poll_due_ms, worker.poll_sent_ms + self._poll_wait_ms())
 
@@ -152,7 +152,7 @@
 
     def _send_poll(self, worker, now_ms):
         can_wait = worker.runs and worker.has_reported and not worker.orphaned_runs
-        can_wait = can_wait and not worker.stopped and not worker.storing_ends
+        can_wait = can_wait and not worker.stopped and not worker.is_storing_ends
         can_wait = can_wait and worker.suspected_ms <= worker.last_answer_ms
         can_wait = can_wait and not worker.unanswered_in_row
         renews_leases = self._renews_leases(worker)
@@ -246,11 +246,11 @@
             self._context.needs_plan = True
         worker.poll_due_ms = now_ms
         if has_new_ends:
-            worker.storing_ends = True
+            worker.is_storing_ends = True
             self._context.journal.after(
-                EndsStored(worker=worker, last_end=worker.heard_end)
+                EndsStored(worker=worker, last_end=worker.received_end)
             )
-        if worker.storing_ends:
+        if worker.is_storing_ends:
             # It would answer at once, since its ends are not acknowledged yet.
             worker.poll_due_ms = now_ms + OUTAGE_POLL_WAIT_MS
         elif self._is_settling(worker):
@@ -282,6 +282,6 @@
         """Have the worker discard the run ends that are stored now."""
         self._unstored_ends.mark_stored(worker, last_end, now_ms=now_ms)
         worker.stored_end = max(worker.stored_end, last_end)
-        worker.storing_ends = worker.heard_end > worker.stored_end
+        worker.is_storing_ends = worker.received_end > worker.stored_end
         worker.poll_due_ms = now_ms
         self._changed[worker] = None
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_registry.py
@@ -77,7 +77,9 @@
             worker = Worker(
                 entry=entry,
                 born_epoch_ms=entry.born_epoch_ms,
-                number=self._incarnations.number(entry.worker_id, entry.born_epoch_ms),
+                incarnation_number=self._incarnations.incarnation_number(
+                    entry.worker_id, entry.born_epoch_ms
+                ),
                 tracked_since_ms=now_ms,
                 poll_due_ms=now_ms,
             )
--- a/packages/thymefork-daemon/src/thymefork_daemon/caller_messages.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/caller_messages.py
@@ -34,7 +34,7 @@
 def read_reply(message):
     """Return the reply that a message carries."""
     return fx.Reply(
-        request_id=None,
+        reply_to=None,
         outcome=fx.Outcome(message.outcome),
         state=message.state,
         count=message.count,
--- a/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
@@ -93,7 +93,7 @@
     def _refuse(self, respond, reason):
         self._daemon.metrics.count("refusals", reason)
         reply = fx.Reply(
-            request_id=None,
+            reply_to=None,
             outcome=fx.Outcome.REFUSED,
             retry_after_ms=NO_OWNER_RETRY_MS,
         )
@@ -208,7 +208,7 @@
             outcome=str(outcome),
         ).info("request given up: no owner answered or none was found")
         reply = fx.Reply(
-            request_id=None, outcome=outcome, retry_after_ms=NO_OWNER_RETRY_MS
+            reply_to=None, outcome=outcome, retry_after_ms=NO_OWNER_RETRY_MS
         )
         self._finish(call_id, reply)
 
@@ -230,7 +230,7 @@
         respond = lambda reply: link.send(reply_message(message.call_id, reply))
         owner = self._daemon.owners.get(message.cell)
         if owner is None:
-            respond(fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER))
+            respond(fx.Reply(reply_to=None, outcome=fx.Outcome.NOT_OWNER))
             return
         owner.request(
             message.kind,
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
@@ -133,7 +133,8 @@
         )
         waiting = len(self._waiting)
         return AdviceSlots(
-            any_call=free - waiting, long_call=free_for_long_calls - waiting
+            free_slots=free - waiting,
+            free_long_call_slots=free_for_long_calls - waiting,
         )
 
     def _is_free(self, name, now_ms):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -249,7 +249,7 @@
     def request(self, kind, queue, job_id, data, respond, **options):
         """Handle a caller's request; `respond` takes the reply."""
         if not self.is_serving:
-            respond(fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER))
+            respond(fx.Reply(reply_to=None, outcome=fx.Outcome.NOT_OWNER))
             return
         self._request_handler.handle(kind, queue, job_id, data, respond, **options)
         self.apply_effects()
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
@@ -56,7 +56,7 @@
 
     @_execute.register
     def _reply(self, effect: fx.Reply):
-        effect.request_id(effect)
+        effect.reply_to(effect)
 
     @_execute.register
     def _note(self, effect: fx.Note):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
@@ -3,7 +3,7 @@
 from loguru import logger
 
 from thymefork_cells import effects as fx
-from thymefork_cells.jobs.intake import STORE_AWAY_RETRY_MS
+from thymefork_cells.jobs.intake import STORE_UNAVAILABLE_RETRY_DELAY_MS
 from thymefork_net import steady_ms
 
 __all__ = ["RequestHandler"]
@@ -72,8 +72,8 @@
             line.bind(reason="ownership lost before the job was stored").info(
                 "job not stored: ownership lost"
             )
-            respond = reply.request_id
-            respond(fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER))
+            respond = reply.reply_to
+            respond(fx.Reply(reply_to=None, outcome=fx.Outcome.NOT_OWNER))
 
     def _is_store_unavailable(self):
         return self._pipeline.is_store_unavailable or not self._ownership.is_certain()
@@ -90,8 +90,8 @@
         self._metrics.count("refusals", "store_away")
         respond(
             fx.Reply(
-                request_id=None,
+                reply_to=None,
                 outcome=fx.Outcome.REFUSED,
-                retry_after_ms=STORE_AWAY_RETRY_MS,
+                retry_after_ms=STORE_UNAVAILABLE_RETRY_DELAY_MS,
             )
         )
--- a/packages/thymefork-daemon/src/thymefork_daemon/queue_count.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/queue_count.py
@@ -34,4 +34,4 @@
             self._respond(self._refused)
             return
         outcome = fx.Outcome.COUNTED
-        self._respond(fx.Reply(request_id=None, outcome=outcome, count=self._total))
+        self._respond(fx.Reply(reply_to=None, outcome=outcome, count=self._total))
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
@@ -221,29 +221,41 @@
 def test_call_occupies_slot_until_answered(timers):
     links = [FakeLink(f"edge-{number}") for number in range(9)]
     dispatcher = make_dispatcher(timers, links, 0.0)
-    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (10, 7)
+    assert (dispatcher.slots.free_slots, dispatcher.slots.free_long_call_slots) == (
+        10,
+        7,
+    )
     dispatcher.ask(advice_call())
-    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (9, 6)
+    assert (dispatcher.slots.free_slots, dispatcher.slots.free_long_call_slots) == (
+        9,
+        6,
+    )
     [asked] = [link.sent[0] for link in links if link.sent]
     dispatcher.on_reply(reply_to(asked))
-    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (10, 7)
+    assert (dispatcher.slots.free_slots, dispatcher.slots.free_long_call_slots) == (
+        10,
+        7,
+    )
 
 
 def test_paused_instance_has_no_slot(timers):
     dispatcher = make_dispatcher(timers, [FakeLink("edge-0")], 0.0)
     dispatcher.ask(advice_call())
     timers.run(3_300)  # the call times out
-    assert (dispatcher.slots.any_call, dispatcher.slots.long_call) == (1, 0)
+    assert (dispatcher.slots.free_slots, dispatcher.slots.free_long_call_slots) == (
+        1,
+        0,
+    )
 
 
 def test_long_calls_use_nearly_all_instances_without_short_calls(timers):
     """Guards against instances left idle by a fixed reserve."""
     links = [FakeLink(f"edge-{number:02}") for number in range(19)]
     dispatcher = make_dispatcher(timers, links, 0.0)
-    assert dispatcher.slots.long_call == 14
+    assert dispatcher.slots.free_long_call_slots == 14
     timers.run(5_100)
     dispatcher.ask(advice_call())
-    assert dispatcher.slots.long_call == 18
+    assert dispatcher.slots.free_long_call_slots == 18
 
 
 def test_reserve_follows_recent_number_of_short_calls(timers):
@@ -252,7 +264,7 @@
     timers.run(5_100)
     for _ in range(2):
         dispatcher.ask(advice_call(cost_ms=60.0))
-    assert dispatcher.slots.long_call == 15  # of 20, with 2 * 2 + 1 reserved
+    assert dispatcher.slots.free_long_call_slots == 15  # of 20, with 2 * 2 + 1 reserved
 
 
 def test_reserve_grows_at_once_when_short_calls_begin(timers):
@@ -261,11 +273,13 @@
     dispatcher = make_dispatcher(timers, links, 0.0)
     timers.run(5_100)
     dispatcher.ask(advice_call())
-    assert dispatcher.slots.long_call == 18
+    assert dispatcher.slots.free_long_call_slots == 18
     timers.run(100)
     for _ in range(2):
         dispatcher.ask(advice_call(cost_ms=60.0))
-    assert dispatcher.slots.long_call == 14  # of 20, 5 are reserved and 1 is busy
+    assert (
+        dispatcher.slots.free_long_call_slots == 14
+    )  # of 20, 5 are reserved and 1 is busy
 
 
 def end_job(call):
@@ -278,11 +292,11 @@
     calls = [advice_call(f"s{number}") for number in range(6)]
     for call in calls:
         dispatcher.ask(call)
-    assert dispatcher.slots.any_call == -4  # 1 in flight, 5 waiting
+    assert dispatcher.slots.free_slots == -4  # 1 in flight, 5 waiting
     for call in calls[1:]:
         end_job(call)
     slots = dispatcher.current_slots()
-    assert (slots.any_call, slots.long_call) == (1, 0)
+    assert (slots.free_slots, slots.free_long_call_slots) == (1, 0)
 
 
 def test_instance_is_notified_once_of_unwanted_call(timers):
@@ -334,5 +348,7 @@
         dispatcher.ask(call)
     for call in calls:
         end_job(call)
-    assert dispatcher.current_slots().any_call == 0  # the local instance is still busy
+    assert (
+        dispatcher.current_slots().free_slots == 0
+    )  # the local instance is still busy
     assert len(notified) == 1
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -8,7 +8,7 @@
 
 from thymefork_cells import HeardEnd, encode_spec
 from thymefork_cells.effects import Outcome
-from thymefork_cells.jobs.codec import encode_progress, store_job
+from thymefork_cells.jobs.codec import encode_job, encode_progress
 from thymefork_cells.specs import (
     Bounds,
     Configuration,
@@ -140,7 +140,7 @@
         task.runs.append(run)
     job.state = JobState.RUNNING
     partition = daemon.store.partition
-    partition.put("jaa", store_job(job, epoch_ms=0.0, now_ms=0.0))
+    partition.put("jaa", encode_job(job, epoch_ms=0.0, now_ms=0.0))
     partition.put("paa", encode_progress(job))
     ends = [
         HeardEnd(worker_id="w0", task="aa.0.0.0", run_id=1, how="done", checkpoint="")
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_with_slow_store.py
@@ -107,8 +107,8 @@
 
     def check(self, reply):
         """Check that a confirmed change is stored, and record the reply."""
-        _, job_id = reply.request_id
-        self.outcomes.setdefault(reply.request_id, []).append(reply.outcome)
+        _, job_id = reply.reply_to
+        self.outcomes.setdefault(reply.reply_to, []).append(reply.outcome)
         if reply.outcome is Outcome.ACCEPTED:
             assert {JOB_KEY + job_id, PROGRESS_KEY + job_id} & self.written()
         elif reply.outcome is Outcome.CANCELLED:
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_frontend_keys.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_frontend_keys.py
@@ -40,7 +40,7 @@
         self, kind, queue, job_id, data, deadline_ms, respond, *, account_name=""
     ):
         self.asked.append((kind, account_name))
-        respond(fx.Reply(request_id=None, outcome=fx.Outcome.STATE, state="queued"))
+        respond(fx.Reply(reply_to=None, outcome=fx.Outcome.STATE, state="queued"))
 
 
 def configuration(version=1, **keys):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway.py
@@ -143,7 +143,7 @@
 def test_request_is_refused_after_a_not_owner_reply(daemon, timers):
     daemon.directory.known[0] = OWNER
     gateway, replies = ask(daemon, timers)
-    reply = fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER)
+    reply = fx.Reply(reply_to=None, outcome=fx.Outcome.NOT_OWNER)
     gateway._on_reply(daemon.link.sent[0].call_id, reply)
     timers.run(1_000)
     assert replies[0].outcome is fx.Outcome.REFUSED
@@ -155,7 +155,7 @@
     gateway.on_link_broken(daemon.link)
     daemon.owners[0] = FakeOwner()
     timers.run(200)
-    daemon.owners[0].requests[0](fx.Reply(request_id=None, outcome=fx.Outcome.ACCEPTED))
+    daemon.owners[0].requests[0](fx.Reply(reply_to=None, outcome=fx.Outcome.ACCEPTED))
     assert replies[0].outcome is fx.Outcome.ACCEPTED
 
 
@@ -165,7 +165,7 @@
     _, replies = ask(daemon, timers, kind="count")
     for number, owner in enumerate(daemon.owners.values()):
         owner.requests[0](
-            fx.Reply(request_id=None, outcome=fx.Outcome.COUNTED, count=number + 2)
+            fx.Reply(reply_to=None, outcome=fx.Outcome.COUNTED, count=number + 2)
         )
     assert replies[0].count == 5
 
@@ -185,7 +185,7 @@
     gateway, replies = ask(daemon, timers)
     gateway.on_heartbeat(daemon.next_owner, heartbeat_of_next_owner())
     (request,) = daemon.next_owner.sent
-    reply = fx.Reply(request_id=None, outcome=fx.Outcome.ACCEPTED)
+    reply = fx.Reply(reply_to=None, outcome=fx.Outcome.ACCEPTED)
     gateway._on_reply(request.call_id, reply)
     assert replies[0].outcome is fx.Outcome.ACCEPTED
 
@@ -194,7 +194,7 @@
     daemon.directory.known[0] = OWNER
     gateway, replies = ask(daemon, timers)
     gateway.on_heartbeat(daemon.next_owner, heartbeat_of_next_owner())
-    reply = fx.Reply(request_id=None, outcome=fx.Outcome.REFUSED)
+    reply = fx.Reply(reply_to=None, outcome=fx.Outcome.REFUSED)
     gateway._on_reply(daemon.link.sent[0].call_id, reply)
     assert not replies
 
@@ -240,7 +240,7 @@
     daemon.owners[0] = new_owner = FakeOwner()
     timers.run(500)
     assert len(new_owner.requests) == 1
-    new_owner.requests[0](fx.Reply(request_id=None, outcome=fx.Outcome.ACCEPTED))
+    new_owner.requests[0](fx.Reply(reply_to=None, outcome=fx.Outcome.ACCEPTED))
     assert replies[0].outcome is fx.Outcome.ACCEPTED
 
 
@@ -267,7 +267,7 @@
     gateway, replies = ask(daemon, timers, kind="cancel")
     for epoch in (1, 2):
         gateway.on_heartbeat(daemon.link, heartbeat(epoch))
-    reply = fx.Reply(request_id=None, outcome=fx.Outcome.ACCEPTED)
+    reply = fx.Reply(reply_to=None, outcome=fx.Outcome.ACCEPTED)
     for message in daemon.link.sent:
         gateway._on_reply(message.call_id, reply)
         gateway._on_reply(message.call_id, reply)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
@@ -23,7 +23,7 @@
 
 CLOCK_MODULES = (gateway_module, pending_request_module)
 
-NOT_OWNER = fx.Reply(request_id=None, outcome=fx.Outcome.NOT_OWNER)
+NOT_OWNER = fx.Reply(reply_to=None, outcome=fx.Outcome.NOT_OWNER)
 KINDS = ["submit", "cancel"]
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_telemetry.py
@@ -130,7 +130,7 @@
         announce_speeds=None,
     )
     replies = []
-    reply = fx.Reply(request_id=replies.append, outcome=fx.Outcome.ACCEPTED)
+    reply = fx.Reply(reply_to=replies.append, outcome=fx.Outcome.ACCEPTED)
     executor.execute([object(), reply])
     assert replies == [reply]
 
@@ -168,7 +168,7 @@
             fx.Note(event="tasks_start"),
             fx.Note(event="job_ended"),
             fx.Note(event="worker_unreadable", level="WARNING"),
-            fx.Reply(request_id=replies.append, outcome=fx.Outcome.COUNTED),
+            fx.Reply(reply_to=replies.append, outcome=fx.Outcome.COUNTED),
         ]
     )
     events = [line["event"] for line in read(pipe)]
