--- a/packages/thymefork-daemon/src/thymefork_daemon/departure.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/departure.py
@@ -2,13 +2,13 @@
 
 from contextlib import ExitStack
 
-__all__ = ["LEAVE_RETRY_MS", "MAX_STORE_WAIT_MS", "Departure"]
+__all__ = ["MAX_STORE_WAIT_MS", "RELEASE_POLL_MS", "Departure"]
 
 # Enough for two appends. A busy owner always has something left to store, and
 # announces it to the other members instead.
 MAX_STORE_WAIT_MS = 500.0
 # Poll period while the cells cannot be released yet.
-LEAVE_RETRY_MS = 5.0
+RELEASE_POLL_MS = 5.0
 
 
 class Departure:
--- a/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
@@ -40,7 +40,7 @@
         self._routes = OwnerRoutes(daemon=daemon)
         self._call_ids = count(1)
         self._pending = {}
-        self._earlier_call_ids = {}
+        self._pending_by_earlier_call_id = {}
         daemon.timers.every(OWN_CELLS_CHECK_MS, self._resend_to_own_cells)
 
     def request(
@@ -189,7 +189,7 @@
 
     def _on_late_reply(self, call_id, reply):
         """Use a late reply only to note that the instance was not the owner."""
-        pending = self._earlier_call_ids.get(call_id)
+        pending = self._pending_by_earlier_call_id.get(call_id)
         if pending is not None and reply.outcome == fx.Outcome.NOT_OWNER:
             pending.open_attempts.on_not_owner(call_id)
 
@@ -197,7 +197,9 @@
         pending = self._pending.get(call_id)
         if pending is None:
             return
-        outcome = fx.Outcome.IN_DOUBT if pending.is_in_doubt else fx.Outcome.REFUSED
+        outcome = (
+            fx.Outcome.IN_DOUBT if pending.is_outcome_unknown else fx.Outcome.REFUSED
+        )
         self._daemon.metrics.count("refusals", reason)
         logger.bind(
             event="request_given_up",
@@ -215,7 +217,7 @@
     def _finish(self, call_id, reply):
         pending = self._pending.pop(call_id)
         for earlier_call_id in pending.earlier_call_ids:
-            self._earlier_call_ids.pop(earlier_call_id, None)
+            self._pending_by_earlier_call_id.pop(earlier_call_id, None)
         self._daemon.timers.cancel(pending.timer_id)
         pending.respond(reply)
 
@@ -292,7 +294,7 @@
                 continue  # completed meanwhile by a broken link
             new_id = next(self._call_ids)
             self._pending[new_id] = pending
-            self._earlier_call_ids[call_id] = pending
+            self._pending_by_earlier_call_id[call_id] = pending
             pending.earlier_call_ids.append(call_id)
             self._daemon.metrics.count("retries", "owner_changed")
             self._send(new_id)
--- a/packages/thymefork-daemon/src/thymefork_daemon/handover.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/handover.py
@@ -5,7 +5,7 @@
 from thymefork_net import steady_ms
 
 from .capacity import HandoverPolicy, LocalStatus
-from .departure import LEAVE_RETRY_MS, MAX_STORE_WAIT_MS, Departure
+from .departure import MAX_STORE_WAIT_MS, RELEASE_POLL_MS, Departure
 from .membership import SLOW_JOIN_MS
 
 __all__ = ["Handover"]
@@ -123,7 +123,7 @@
         if not self._is_still_valid():
             self._cancel()
         elif self._must_wait():
-            self._daemon.timers.after(LEAVE_RETRY_MS, self._proceed)
+            self._daemon.timers.after(RELEASE_POLL_MS, self._proceed)
         else:
             self._leave()
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/join_deferral.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/join_deferral.py
@@ -51,7 +51,7 @@
         daemon = self._daemon
         if not daemon.layout.cells or self._has_store_recovered():
             return False
-        if not daemon.readiness.hears_all_owners:
+        if not daemon.readiness.are_owners_responsive:
             return False
         owners = map(daemon.directory.owner_of, range(daemon.layout.cells))
         return not all(daemon.peers.has_store(owner) for owner in owners)
--- a/packages/thymefork-daemon/src/thymefork_daemon/limit_part_router.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/limit_part_router.py
@@ -46,7 +46,7 @@
         if owner is None:
             self._daemon.metrics.count("limit_parts_dropped", "not_owned_here")
         else:
-            owner.take_parts(message)
+            owner.on_limit_part_message(message)
 
 
 @singledispatch
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_call.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_call.py
@@ -14,5 +14,5 @@
     """
 
     sent_ms: float
-    follows: bool
+    was_head: bool
     is_repeat: bool
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pipeline.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_pipeline.py
@@ -158,7 +158,7 @@
             return
         call = AppendCall(
             sent_ms=steady_ms(),
-            follows=self._is_head(pending),
+            was_head=self._is_head(pending),
             is_repeat=pending.was_sent,
         )
         pending.was_sent = True
@@ -226,7 +226,7 @@
         A batch that was sent after all earlier ones were stored can't be too early, so
         the cell has another owner then.
         """
-        if call.follows and result.expected_sequence <= pending.sequence:
+        if call.was_head and result.expected_sequence <= pending.sequence:
             self._on_superseded(result)
         elif result.expected_sequence - 1 > self._stored_sequence:
             self._on_stored(result.expected_sequence - 1)
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/cell_owner.py
@@ -57,7 +57,9 @@
             announce_ends=self._announce_ends,
             sheds=daemon.owner_load.load_shedder.sheds,
             announce_speeds=self._announce_speeds,
-            send_parts=lambda message: daemon.limit_part_router.send(message),
+            send_limit_part_message=lambda message: daemon.limit_part_router.send(
+                message
+            ),
         )
 
     def _build_takeover(self):
@@ -302,7 +304,7 @@
             self.cell.inherited_ends.apply(ends, now_ms=steady_ms())
             self.apply_effects()
 
-    def take_parts(self, message):
+    def on_limit_part_message(self, message):
         """Apply a message of another cell's owner about parts of account limits."""
         if self._is_active:
             self.cell.on_parts(message, now_ms=steady_ms())
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
@@ -27,7 +27,7 @@
         announce_ends,
         announce_speeds,
         sheds=lambda kind: False,
-        send_parts=None,
+        send_limit_part_message=None,
     ):
         self._cell_index = cell_index
         self._metrics = metrics
@@ -37,7 +37,7 @@
         self._announce_ends = announce_ends
         self._sheds = sheds
         self._announce_speeds = announce_speeds
-        self._send_parts = send_parts
+        self._send_parts = send_limit_part_message
 
     def execute(self, effects):
         """Execute effects; a failed one does not affect the others."""
--- a/packages/thymefork-daemon/src/thymefork_daemon/pending_request.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/pending_request.py
@@ -38,7 +38,7 @@
         return max(0.0, self.deadline_ms - steady_ms())
 
     @property
-    def is_in_doubt(self):
+    def is_outcome_unknown(self):
         """Return whether an owner may have executed it or may still do so."""
         return self.kind in ("submit", "cancel") and bool(self.open_attempts)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/readiness.py
@@ -30,14 +30,14 @@
         if daemon.settings.commands_by_heartbeat:
             return False
         cells = range(daemon.layout.cells)
-        if not self.hears_all_owners:
+        if not self.are_owners_responsive:
             self._unresponsive_since_ms = self._unresponsive_since_ms or steady_ms()
             return False
         self._unresponsive_since_ms = 0.0
         return all(self._owner_has_store(cell) for cell in cells)
 
     @property
-    def hears_all_owners(self):
+    def are_owners_responsive(self):
         """Return whether each cell's owner is local or was heard recently."""
         cells = range(self._daemon.layout.cells)
         return all(self._is_owner_responsive(cell) for cell in cells)
--- a/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/shutdown.py
@@ -4,7 +4,7 @@
 
 from thymefork_net import steady_ms
 
-from .departure import LEAVE_RETRY_MS, MAX_STORE_WAIT_MS, Departure
+from .departure import MAX_STORE_WAIT_MS, RELEASE_POLL_MS, Departure
 
 __all__ = ["Shutdown"]
 
@@ -44,7 +44,7 @@
 
     def _leave(self):
         if self._should_keep_cells():
-            self._daemon.timers.after(LEAVE_RETRY_MS, self._leave)
+            self._daemon.timers.after(RELEASE_POLL_MS, self._leave)
             return
         self._has_left = True
         self._departure.leave("this instance stops", permanent=True)
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
@@ -159,7 +159,7 @@
         gateway.on_heartbeat(daemon.link, heartbeat(epoch))
     timers.run(3_000)
     assert not gateway.open_requests
-    assert not gateway._earlier_call_ids
+    assert not gateway._pending_by_earlier_call_id
 
 
 def test_owner_is_sent_the_remaining_time(daemon, timers):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_join_deferral.py
@@ -16,7 +16,7 @@
         owners={},
         layout=SimpleNamespace(cells=2),
         directory=SimpleNamespace(owner_of=lambda cell: f"owner-{cell}"),
-        readiness=SimpleNamespace(hears_all_owners=True),
+        readiness=SimpleNamespace(are_owners_responsive=True),
         peers=SimpleNamespace(has_store=lambda address: address not in daemon.without),
         store_readable_since_ms=None,
         without={"owner-1"},
@@ -40,7 +40,7 @@
 
 
 def test_no_wait_for_owner_without_heartbeats(daemon, timers):
-    daemon.readiness.hears_all_owners = False
+    daemon.readiness.are_owners_responsive = False
     assert not JoinDeferral(daemon=daemon).must_wait()
 
 
@@ -64,7 +64,7 @@
         self.daemon = daemon
         self.timers = timers
         daemon.layout.cells = 0
-        daemon.readiness.hears_all_owners = False
+        daemon.readiness.are_owners_responsive = False
         daemon.membership = SimpleNamespace(in_group=False)
         self._deferral = JoinDeferral(daemon=daemon)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_limit_part_router.py
@@ -70,7 +70,7 @@
     def __init__(self):
         self.received = []
 
-    def take_parts(self, message):
+    def on_limit_part_message(self, message):
         self.received.append(message)
 
 
--- a/soak/src/thymefork_soak/accounts.py
+++ b/soak/src/thymefork_soak/accounts.py
@@ -66,10 +66,10 @@
         self._fleet = fleet
         self._random = random
 
-    async def work(self, until, now):
+    async def work(self, until_s, now):
         """Make changes until the given time, then restore all settings."""
         accounts = self._fleet.accounts
-        while now() < until:
+        while now() < until_s:
             await asyncio.sleep(self._random.choice((0.3, 1.0, 4.0, 8.0)))
             if self._random.random() < 0.4:
                 await self._set_guest(not accounts.guest_has_key)
@@ -95,9 +95,9 @@
         super().__init__(fleet=fleet, random=random, account=GUEST)
         self.violations = []
 
-    async def work(self, until, now):
+    async def work(self, until_s, now):
         """Request unknown jobs until the given time."""
-        while now() < until:
+        while now() < until_s:
             await asyncio.sleep(self._random.uniform(0.05, 0.5))
             accounts = self._fleet.accounts
             had_key, changed_ms = accounts.guest_has_key, accounts.guest_changed_ms
@@ -126,9 +126,9 @@
         super().__init__(fleet=fleet, random=random, account="nobody")
         self.violations = []
 
-    async def work(self, until, now):
+    async def work(self, until_s, now):
         """Submit jobs until the given time; none may be accepted."""
-        while now() < until:
+        while now() < until_s:
             await asyncio.sleep(self._random.uniform(0.3, 1.5))
             submitted = SubmittedJob(job_id=f"{self._random.getrandbits(64):016x}")
             self.submitted_jobs.append(submitted)
--- a/soak/src/thymefork_soak/callers.py
+++ b/soak/src/thymefork_soak/callers.py
@@ -41,9 +41,9 @@
         self._random = random
         self._connection = None
 
-    async def work(self, until, now):
+    async def work(self, until_s, now):
         """Submit jobs until the given time."""
-        while now() < until:
+        while now() < until_s:
             await self._submit_job()
             await asyncio.sleep(self._random.uniform(0.05, 0.4))
 
--- a/soak/src/thymefork_soak/capacity_changes.py
+++ b/soak/src/thymefork_soak/capacity_changes.py
@@ -17,9 +17,9 @@
         self._random = random
         self._workers = workers
 
-    async def work(self, until, now):
+    async def work(self, until_s, now):
         """Change capacities until the given time."""
-        while now() < until:
+        while now() < until_s:
             await asyncio.sleep(self._random.choice((0.5, 1.0, 3.0)))
             worker = self._random.randrange(self._workers)
             await self._resize(worker, self._random.choice(CAPACITIES_CPU_MILLI))
--- a/soak/src/thymefork_soak/entry_corruption.py
+++ b/soak/src/thymefork_soak/entry_corruption.py
@@ -24,9 +24,9 @@
         self._random = random
         self._workers = workers
 
-    async def work(self, until, now):
+    async def work(self, until_s, now):
         """Corrupt entries until the given time; workers rewrite theirs."""
-        while now() < until:
+        while now() < until_s:
             await asyncio.sleep(self._random.uniform(0.5, 4.0))
             notice = {"value": self._random.choice(VALUES)}
             if self._random.random() < 0.7:
--- a/soak/src/thymefork_soak/faults.py
+++ b/soak/src/thymefork_soak/faults.py
@@ -3,7 +3,7 @@
 import asyncio
 import signal
 
-__all__ = ["FaultPlan"]
+__all__ = ["FaultInjector"]
 
 # Leaves time for the other faults first.
 FIRST_OUTAGE_S = 6.0
@@ -13,7 +13,7 @@
 PROXY_MODES = ("silent", "one_way", "reset", "delay")
 
 
-class FaultPlan:
+class FaultInjector:
     """Inject random faults into the processes and connections of a fleet."""
 
     def __init__(self, *, fleet, random, workers, restarts=None):
@@ -39,9 +39,9 @@
             self._hang_up,
         )
 
-    async def work(self, until, now):
+    async def work(self, until_s, now):
         """Inject faults at random intervals, then wait until all have ended."""
-        while now() < until:
+        while now() < until_s:
             await asyncio.sleep(self._random.uniform(0.4, 2.0))
             await self._faults_allowed.wait()
             kind = self._random.choice(self._kinds)
@@ -51,7 +51,7 @@
             task.add_done_callback(self._running.discard)
         await self._until_idle()
 
-    async def work_outages(self, until, now, random):
+    async def run_outages(self, until_s, now, random):
         """Make the store unavailable and expire all worker entries, with pauses.
 
         The separate `random` keeps the other faults of a seed independent of outages.
@@ -61,7 +61,7 @@
             began = now()
             await self._carry_out(lambda: self._outage(random))
             self.history.append(f"{began:.1f} outage until {now():.1f}")
-            if now() >= until:
+            if now() >= until_s:
                 return
             self._faults_allowed.clear()
             await self._until_idle()
--- a/soak/src/thymefork_soak/main.py
+++ b/soak/src/thymefork_soak/main.py
@@ -21,7 +21,7 @@
 from .capacity_changes import CapacityChanges
 from .crashing_caller import CrashingCaller
 from .entry_corruption import EntryCorrupter
-from .faults import FaultPlan
+from .faults import FaultInjector
 from .fleet import Fleet
 from .long_running_caller import LongRunningCaller
 from .outage_restarts import OutageRestarts
@@ -78,7 +78,7 @@
         restarts = OutageRestarts(
             fleet=fleet, random=random.Random(f"{seed} rolls"), workers=WORKERS
         )
-        plan = FaultPlan(
+        plan = FaultInjector(
             fleet=fleet,
             random=random.Random(rng.random()),
             workers=WORKERS,
@@ -107,15 +107,15 @@
         long_running_tasks = [
             asyncio.ensure_future(caller.work()) for caller in long_running
         ]
-        until = SETTLE_S + seconds
+        until_s = SETTLE_S + seconds
         await asyncio.gather(
-            plan.work(until, now),
-            plan.work_outages(until, now, random.Random(f"{seed} outages")),
-            crashing.work(until, now),
-            capacity_changes.work(until, now),
-            corrupter.work(until, now),
-            *(caller.work(until, now) for caller in callers),
-            *(extra.work(until, now) for extra in account_callers),
+            plan.work(until_s, now),
+            plan.run_outages(until_s, now, random.Random(f"{seed} outages")),
+            crashing.work(until_s, now),
+            capacity_changes.work(until_s, now),
+            corrupter.work(until_s, now),
+            *(caller.work(until_s, now) for caller in callers),
+            *(extra.work(until_s, now) for extra in account_callers),
         )
         (folder / "faults.txt").write_text("\n".join([*plan.history, ""]))
         callers += [*long_running, crashing]
@@ -163,8 +163,8 @@
         (caller, submitted) for caller in callers for submitted in caller.submitted_jobs
     ]
     pending = [row for row in submitted_jobs if row[1].accepted]
-    until = now() + FINISH_S
-    while pending and now() < until:
+    until_s = now() + FINISH_S
+    while pending and now() < until_s:
         unfinished = []
         for caller, submitted in pending:
             submitted.state = await caller.read_state(submitted)
