--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_heterogeneous_workers.py
@@ -56,44 +56,48 @@
         return sum(chosen) / len(chosen)
 
 
-def of_queue(site, job_ids, queue_name):
-    return {job_id for job_id in job_ids if site.job(job_id).queue_name == queue_name}
+def of_queue(harness, job_ids, queue_name):
+    return {
+        job_id for job_id in job_ids if harness.job(job_id).queue_name == queue_name
+    }
 
 
-def run_mixed_load(site):
+def run_mixed_load(harness):
     """Run small and batch jobs; return those after the speeds are known."""
-    site.load(LEARN_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    sent = site.load(LOAD_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    site.run(SETTLE_MS)
-    return of_queue(site, sent, "q"), of_queue(site, sent, "batch")
+    harness.load(LEARN_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+    sent = harness.load(LOAD_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+    harness.run(SETTLE_MS)
+    return of_queue(harness, sent, "q"), of_queue(harness, sent, "batch")
 
 
-def disable_learning(site):
-    site.cell.speeds.learn = lambda **fields: False
+def disable_learning(harness):
+    harness.cell.speeds.learn = lambda **fields: False
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_urgent_jobs_start_on_fast_workers(seed):
-    site = RecordingHarness(seed=seed)
-    site.load(LEARN_MS, small=SMALL_GAP_MS)
-    sent = set(site.load(LOAD_MS, small=SMALL_GAP_MS))
-    site.run(SETTLE_MS)
-    assert site.share_on_fast(sent) >= 0.9
-    assert site.fraction_on_time(sent) >= 0.9
+    harness = RecordingHarness(seed=seed)
+    harness.load(LEARN_MS, small=SMALL_GAP_MS)
+    sent = set(harness.load(LOAD_MS, small=SMALL_GAP_MS))
+    harness.run(SETTLE_MS)
+    assert harness.share_on_fast(sent) >= 0.9
+    assert harness.fraction_on_time(sent) >= 0.9
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_batch_jobs_leave_fast_workers_to_urgent_jobs(seed):
-    site = RecordingHarness(seed=seed)
-    small, batch = run_mixed_load(site)
-    assert site.share_on_fast(small) >= 0.8
-    assert site.share_on_fast(batch) <= 0.5
+    harness = RecordingHarness(seed=seed)
+    small, batch = run_mixed_load(harness)
+    assert harness.share_on_fast(small) >= 0.8
+    assert harness.share_on_fast(batch) <= 0.5
     without_learning = RecordingHarness(seed=seed)
     disable_learning(without_learning)
     small_then, batch_then = run_mixed_load(without_learning)
-    assert site.fraction_on_time(small) >= without_learning.fraction_on_time(small_then)
+    assert harness.fraction_on_time(small) >= without_learning.fraction_on_time(
+        small_then
+    )
     assert (
-        site.fraction_on_time(batch)
+        harness.fraction_on_time(batch)
         >= without_learning.fraction_on_time(batch_then) - 0.05
     )
 
@@ -102,52 +106,52 @@
     """On homogeneous workers, placement must not depend on learned speeds."""
     starts = []
     for learns in (True, False):
-        site = HeterogeneousHarness(seed=5, slownesses=(1.0,))
+        harness = HeterogeneousHarness(seed=5, slownesses=(1.0,))
         if not learns:
-            disable_learning(site)
-        site.load(LOAD_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-        starts.append({name: w.starts for name, w in site.workers.items()})
-        assert not site.cell.speeds.is_heterogeneous
+            disable_learning(harness)
+        harness.load(LOAD_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+        starts.append({name: w.starts for name, w in harness.workers.items()})
+        assert not harness.cell.speeds.is_heterogeneous
     assert starts[0] == starts[1]
 
 
-def moved_from_slow(site):
+def moved_from_slow(harness):
     """Return how many runs were moved from slow workers."""
-    workers = [n.fields["worker"] for n in site.notes if n.event == "run_moves"]
-    return sum(not site.is_fast(name) for name in workers)
+    workers = [n.fields["worker"] for n in harness.notes if n.event == "run_moves"]
+    return sum(not harness.is_fast(name) for name in workers)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_slow_workers_do_not_count_as_failing(seed):
     """Guards against moving runs that merely run on a slow worker."""
-    site = HeterogeneousHarness(seed=seed)
-    run_mixed_load(site)
+    harness = HeterogeneousHarness(seed=seed)
+    run_mixed_load(harness)
     without_learning = HeterogeneousHarness(seed=seed)
     disable_learning(without_learning)
     run_mixed_load(without_learning)
-    assert 3 * moved_from_slow(site) < moved_from_slow(without_learning)
+    assert 3 * moved_from_slow(harness) < moved_from_slow(without_learning)
     learned = {True: [], False: []}
-    for worker in site.cell.context.workers.values():
-        learned[site.is_fast(worker.worker_id)].append(worker.slowness)
+    for worker in harness.cell.context.workers.values():
+        learned[harness.is_fast(worker.worker_id)].append(worker.slowness)
     assert max(learned[True]) < min(learned[False])
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_temporarily_slow_workers_are_paused_but_not_learned(seed):
-    site = HeterogeneousHarness(seed=seed)
-    site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    slowed = [name for name in site.workers if site.is_fast(name)][:4]
-    slowed_workers = [site.cell.context.workers[name] for name in slowed]
+    harness = HeterogeneousHarness(seed=seed)
+    harness.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+    slowed = [name for name in harness.workers if harness.is_fast(name)][:4]
+    slowed_workers = [harness.cell.context.workers[name] for name in slowed]
     before = [worker.slowness for worker in slowed_workers]
-    site.notes.clear()
+    harness.notes.clear()
     for name in slowed:
-        site.workers[name].slow_factor = 5.0 * FAST
-    site.load(6_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+        harness.workers[name].slow_factor = 5.0 * FAST
+    harness.load(6_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     for name in slowed:
-        site.workers[name].slow_factor = FAST
-    paused = [note for note in site.notes if note.event == "worker_slow"]
+        harness.workers[name].slow_factor = FAST
+    paused = [note for note in harness.notes if note.event == "worker_slow"]
     assert {note.fields["worker"] for note in paused} & set(slowed)
-    site.load(4_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+    harness.load(4_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
     for worker, slowness in zip(slowed_workers, before, strict=True):
         assert worker.slowness <= 1.3 * slowness
 
@@ -158,55 +162,55 @@
 @pytest.mark.parametrize("is_announced", [True, False])
 def test_new_owner_uses_announced_speeds_at_once(is_announced):
     """Without announcements, the new owner learns the speeds again."""
-    site = RecordingHarness(seed=7)
-    site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    fast = {f"m-{name}" for name in site.workers if site.is_fast(name)}
-    assert len(fast & site.announced_speeds.keys()) >= 6
+    harness = RecordingHarness(seed=7)
+    harness.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+    fast = {f"m-{name}" for name in harness.workers if harness.is_fast(name)}
+    assert len(fast & harness.announced_speeds.keys()) >= 6
     if not is_announced:
-        site.announced_speeds.clear()
-    site.is_owner_down = True
-    site.run(500)
-    site.take_over()
-    assert site.cell.speeds.is_heterogeneous is is_announced
-    site.run(1_500)
-    first = set(site.load(3_000.0, small=SMALL_GAP_MS))
+        harness.announced_speeds.clear()
+    harness.is_owner_down = True
+    harness.run(500)
+    harness.take_over()
+    assert harness.cell.speeds.is_heterogeneous is is_announced
+    harness.run(1_500)
+    first = set(harness.load(3_000.0, small=SMALL_GAP_MS))
     if is_announced:
-        assert site.share_on_fast(first) >= 0.85
-    site.load(2 * LEARN_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    assert site.cell.speeds.is_heterogeneous
-    later = set(site.load(8_000.0, small=SMALL_GAP_MS))
-    assert site.share_on_fast(later) >= 0.75
+        assert harness.share_on_fast(first) >= 0.85
+    harness.load(2 * LEARN_MS, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+    assert harness.cell.speeds.is_heterogeneous
+    later = set(harness.load(8_000.0, small=SMALL_GAP_MS))
+    assert harness.share_on_fast(later) >= 0.75
 
 
 def test_cell_runs_on_without_workers():
-    site = HeterogeneousHarness(seed=7)
-    site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    assert site.cell.speeds.is_heterogeneous
-    site.run(30_000.0)
-    site.publish_worker_list([])
-    for worker in site.workers.values():
+    harness = HeterogeneousHarness(seed=7)
+    harness.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+    assert harness.cell.speeds.is_heterogeneous
+    harness.run(30_000.0)
+    harness.publish_worker_list([])
+    for worker in harness.workers.values():
         worker.is_unreachable = True
-    site.run(60_000.0)
-    assert not site.cell.context.workers
+    harness.run(60_000.0)
+    assert not harness.cell.context.workers
 
 
 def test_speeds_are_kept_while_cell_is_idle():
     """Variance grows meanwhile, but machines stay the same."""
-    site = RecordingHarness(seed=7)
-    site.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    site.run(300_000.0)
-    first = set(site.load(3_000.0, small=SMALL_GAP_MS))
-    assert site.share_on_fast(first) >= 0.85
+    harness = RecordingHarness(seed=7)
+    harness.load(12_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+    harness.run(300_000.0)
+    first = set(harness.load(3_000.0, small=SMALL_GAP_MS))
+    assert harness.share_on_fast(first) >= 0.85
 
 
 def test_restarted_worker_keeps_its_speed():
-    site = HeterogeneousHarness(seed=8)
-    site.load(8_000.0, small=SMALL_GAP_MS)
-    name = next(name for name in site.workers if site.is_fast(name))
-    before = site.cell.context.workers[name].slowness
-    site.restart(site.workers[name], away_ms=1_000.0)
-    site.load(4_000.0, small=SMALL_GAP_MS)
-    again = site.cell.context.workers[name]
+    harness = HeterogeneousHarness(seed=8)
+    harness.load(8_000.0, small=SMALL_GAP_MS)
+    name = next(name for name in harness.workers if harness.is_fast(name))
+    before = harness.cell.context.workers[name].slowness
+    harness.restart(harness.workers[name], away_ms=1_000.0)
+    harness.load(4_000.0, small=SMALL_GAP_MS)
+    again = harness.cell.context.workers[name]
     assert again.incarnation_number
     assert again.slowness == pytest.approx(before, rel=0.25)
 
@@ -217,21 +221,21 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_far_slower_machine_gets_no_work(seed):
     """A previous owner announced its speed; others have capacity."""
-    site = HeterogeneousHarness(seed=seed)
-    site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    far_slower = next(name for name in site.workers if not site.is_fast(name))
+    harness = HeterogeneousHarness(seed=seed)
+    harness.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+    far_slower = next(name for name in harness.workers if not harness.is_fast(name))
     machine = f"m-{far_slower}"
-    site.workers[far_slower].slow_factor = 15.0
-    site.announced_speeds[machine] = LearnedSpeed(
+    harness.workers[far_slower].slow_factor = 15.0
+    harness.announced_speeds[machine] = LearnedSpeed(
         machine=machine, log_slowness=log(15.0)
     )
-    site.is_owner_down = True
-    site.run(500)
-    site.take_over()
-    site.run(1_500)
-    sent = site.load(LOAD_MS, small=3 * SMALL_GAP_MS, batch=3 * BATCH_GAP_MS)
-    assert site.cell.context.workers[far_slower].slowness > 4.0
-    assert far_slower not in site.starts(set(sent))
+    harness.is_owner_down = True
+    harness.run(500)
+    harness.take_over()
+    harness.run(1_500)
+    sent = harness.load(LOAD_MS, small=3 * SMALL_GAP_MS, batch=3 * BATCH_GAP_MS)
+    assert harness.cell.context.workers[far_slower].slowness > 4.0
+    assert far_slower not in harness.starts(set(sent))
 
 
 # Gangs ------------------------------------------------------------------------
@@ -240,9 +244,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_gang_with_tight_objective_uses_fast_workers_only(seed):
     """A gang ends with its slowest member."""
-    site = HeterogeneousHarness(seed=seed)
-    site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    site.run(10_000.0)
+    harness = HeterogeneousHarness(seed=seed)
+    harness.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+    harness.run(10_000.0)
     step = {
         "count": 6,
         "cpu_milli": 6_000,
@@ -251,18 +255,18 @@
         "image": "g",
         "gang": True,
     }
-    site.submit("ffffffffffffffff", job_spec(step))
-    site.run(100.0)
-    members = site.starts({"ffffffffffffffff"})
+    harness.submit("ffffffffffffffff", job_spec(step))
+    harness.run(100.0)
+    members = harness.starts({"ffffffffffffffff"})
     assert len(members) == 6
-    assert all(site.is_fast(name) for name in members)
+    assert all(harness.is_fast(name) for name in members)
 
 
 def test_gang_members_share_the_slowest_slowness():
     """All members end with the slowest one, whose slowness applies to each."""
-    site = HeterogeneousHarness(seed=1)
-    site.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
-    site.run(10_000.0)
+    harness = HeterogeneousHarness(seed=1)
+    harness.load(8_000.0, small=SMALL_GAP_MS, batch=BATCH_GAP_MS)
+    harness.run(10_000.0)
     step = {
         "count": 36,
         "cpu_milli": 6_000,
@@ -271,10 +275,12 @@
         "image": "g",
         "gang": True,
     }
-    site.submit("ffffffffffffffff", job_spec(step))
-    site.run(100.0)
+    harness.submit("ffffffffffffffff", job_spec(step))
+    harness.run(100.0)
     runs = [
-        run for task in site.job("ffffffffffffffff").steps[0].tasks for run in task.runs
+        run
+        for task in harness.job("ffffffffffffffff").steps[0].tasks
+        for run in task.runs
     ]
     slownesses = [run.worker.slowness for run in runs]
     assert min(slownesses) < 1.0 < max(slownesses)
