--- a/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/gateway.py
@@ -130,7 +130,7 @@
             pending.data,
             lambda reply: self._on_reply(call_id, reply),
             account_name=pending.account_name,
-            patience_ms=pending.left_ms(),
+            timeout_ms=pending.left_ms(),
         )
 
     def _send_on_link(self, call_id, pending, link):
@@ -241,7 +241,7 @@
             message.body,
             respond,
             account_name=message.account_name or "",
-            patience_ms=message.patience_ms or 0,
+            timeout_ms=message.patience_ms or 0,
         )
 
     def on_link_broken(self, link):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/advice_dispatcher.py
@@ -227,12 +227,12 @@
         proxy.effect, proxy.call_id = effect, call_id
         proxy.is_withdrawn = False
         self._record_short_calls()
-        patience_ms = effect.cost_ms * TIMEOUT_FACTOR + TIMEOUT_SLACK_MS
+        timeout_ms = effect.cost_ms * TIMEOUT_FACTOR + TIMEOUT_SLACK_MS
         if proxy.link is None:
             self._client.ask(
                 step_name=effect.step.name,
                 worker_ids=effect.worker_ids,
-                patience_ms=patience_ms,
+                timeout_ms=timeout_ms,
                 wanted=lambda: is_wanted(effect),
                 done=lambda tickets, valid_ms: self._on_local_answer(
                     proxy, call_id, tickets, valid_ms
@@ -241,7 +241,7 @@
             return
         self._proxy_by_call[call_id] = proxy
         proxy.timer_id = self._timers.after(
-            patience_ms + TIMEOUT_SLACK_MS / 2,
+            timeout_ms + TIMEOUT_SLACK_MS / 2,
             lambda: self._time_out(proxy, call_id),
         )
         proxy.link.send(
@@ -249,7 +249,7 @@
                 call_id=call_id,
                 step=effect.step.name,
                 workers=list(effect.worker_ids),
-                patience_ms=int(patience_ms),
+                patience_ms=int(timeout_ms),
             )
         )
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/peer_dispatcher.py
@@ -249,7 +249,7 @@
         self._daemon.advice.ask(
             step_name=message.step,
             worker_ids=message.workers,
-            patience_ms=message.patience_ms,
+            timeout_ms=message.patience_ms,
             wanted=lambda: call in self._open_advice_calls,
             done=answer,
         )
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_gateway_in_doubt.py
@@ -176,4 +176,4 @@
 def test_local_owner_gets_the_remaining_time(daemon, timers):
     daemon.owners[0] = owner = FakeOwner()
     ask(daemon, timers)
-    assert owner.options["patience_ms"] == 2_500
+    assert owner.options["timeout_ms"] == 2_500
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_peer_dispatcher.py
@@ -163,7 +163,7 @@
     def __init__(self):
         self.calls = []
 
-    def ask(self, *, step_name, worker_ids, patience_ms, done, wanted):
+    def ask(self, *, step_name, worker_ids, timeout_ms, done, wanted):
         self.calls.append((step_name, wanted, done))
 
     def made(self):
