--- a/bench/overload.py
+++ b/bench/overload.py
@@ -57,12 +57,12 @@
     """Print the latency of lookups without and with batch jobs on the same workers."""
     alone = load(cluster, LOOKUP_RATE, 5, seed=3).summary()
     until_s = time.monotonic() + SPAN_S
-    merges = threading.Thread(target=submit_batch_jobs, args=(cluster, until_s))
-    merges.start()
+    submitter = threading.Thread(target=submit_batch_jobs, args=(cluster, until_s))
+    submitter.start()
     beside = load(cluster, LOOKUP_RATE, 5, seed=3).summary()
-    merges.join()
+    submitter.join()
     print(f"lookups alone: {alone}")
-    print(f"beside {BATCH_JOBS_PER_SECOND} merges per second: {beside}")
+    print(f"beside {BATCH_JOBS_PER_SECOND} batch jobs per second: {beside}")
     print(f"p99 {beside['p99_ms'] / alone['p99_ms']:.2f} times (target 1.2)")
 
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/effect_executor.py
@@ -37,7 +37,7 @@
         self._announce_ends = announce_ends
         self._sheds = sheds
         self._announce_speeds = announce_speeds
-        self._send_parts = send_limit_part_message
+        self._send_limit_part_message = send_limit_part_message
 
     def execute(self, effects):
         """Execute effects; a failed one does not affect the others."""
@@ -94,7 +94,7 @@
     def _exchange_parts(
         self, effect: fx.RequestParts | fx.GrantParts | fx.ReportHeldParts
     ):
-        self._send_parts(effect)
+        self._send_limit_part_message(effect)
 
     @_execute.register
     def _command(self, effect: fx.StartRun | fx.StopRun | fx.PaceRun | fx.PollWorker):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_command_sender.py
@@ -50,11 +50,11 @@
     )
 
 
-def make_worker(number=0):
+def make_worker(incarnation_number=0):
     entry = WorkerEntry(
         worker_id="w", machine_id="m", host="h", port=1, service="s", hall=""
     )
-    return Worker(entry=entry, number=number)
+    return Worker(entry=entry, incarnation_number=incarnation_number)
 
 
 def send_stop(owner, client, worker):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_readiness.py
@@ -30,7 +30,7 @@
     return daemon
 
 
-def test_instance_that_hears_all_owners_is_ready(daemon):
+def test_instance_with_responsive_owners_is_ready(daemon):
     assert Readiness(daemon=daemon).check()
 
 
--- a/soak/src/thymefork_soak/main.py
+++ b/soak/src/thymefork_soak/main.py
@@ -78,7 +78,7 @@
         restarts = OutageRestarts(
             fleet=fleet, random=random.Random(f"{seed} rolls"), workers=WORKERS
         )
-        plan = FaultInjector(
+        fault_injector = FaultInjector(
             fleet=fleet,
             random=random.Random(rng.random()),
             workers=WORKERS,
@@ -109,15 +109,15 @@
         ]
         until_s = SETTLE_S + seconds
         await asyncio.gather(
-            plan.run(until_s, now),
-            plan.run_outages(until_s, now, random.Random(f"{seed} outages")),
+            fault_injector.run(until_s, now),
+            fault_injector.run_outages(until_s, now, random.Random(f"{seed} outages")),
             crashing.run(until_s, now),
             capacity_changes.run(until_s, now),
             corrupter.run(until_s, now),
             *(caller.run(until_s, now) for caller in callers),
             *(extra.run(until_s, now) for extra in account_callers),
         )
-        (folder / "faults.txt").write_text("\n".join([*plan.history, ""]))
+        (folder / "faults.txt").write_text("\n".join([*fault_injector.history, ""]))
         callers += [*long_running, crashing]
         violations = await _stop_long_running(long_running, long_running_tasks)
         await asyncio.sleep(MARGIN_S)
@@ -135,7 +135,7 @@
     accepted = sum(submitted.accepted for submitted in submitted_jobs)
     return (
         violations,
-        f"{len(submitted_jobs)} jobs, {accepted} accepted, {len(plan.history)} faults",
+        f"{len(submitted_jobs)} jobs, {accepted} accepted, {len(fault_injector.history)} faults",
     )
 
 
