--- a/packages/thymefork-cells/src/thymefork_cells/accounts/part_lender.py
+++ b/packages/thymefork-cells/src/thymefork_cells/accounts/part_lender.py
@@ -52,19 +52,21 @@
         if request.borrower in waiting and request.borrower not in lent_to:
             self._refuse(request, now_ms)
 
-    def on_held_report(self, hold, now_ms):
+    def on_held_report(self, report, now_ms):
         """Reduce a loan to what the borrower still holds."""
-        if not self._is_latest(hold) or self._regrant(hold, now_ms):
+        if not self._is_latest(report) or self._regrant(report, now_ms):
             return
-        loan = self._ledger.loans(hold.account).get(hold.borrower)
-        grant = (hold.lender_epoch, hold.number)
+        loan = self._ledger.loans(report.account).get(report.borrower)
+        grant = (report.lender_epoch, report.number)
         if loan is None or loan.grant != grant:
             self._context.count("limit_parts", "late_hold")
             return
-        returned = self._ledger.reduce_loan(hold.account, hold.borrower, hold.parts)
+        returned = self._ledger.reduce_loan(
+            report.account, report.borrower, report.parts
+        )
         if returned:
             self._context.count("limit_parts", "came_back")
-            self.serve(hold.account, now_ms)
+            self.serve(report.account, now_ms)
 
     def run_cycle(self, now_ms):
         """Serve pending requests, and resend grants when due."""
--- a/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_worker_speeds.py
+++ b/packages/thymefork-cells/src/thymefork_cells/estimates/tests/test_worker_speeds.py
@@ -76,10 +76,8 @@
 
     def accurate_share(self):
         """Return the share of machines whose learned slowness is accurate."""
-        is_accurate = [
-            self.error_factor(machine) < TOLERANCE for machine in self.slowness
-        ]
-        return sum(is_accurate) / len(is_accurate)
+        accurate = [self.error_factor(machine) < TOLERANCE for machine in self.slowness]
+        return sum(accurate) / len(accurate)
 
 
 HETEROGENEOUS = [SLOW, SLOW, FAST] * 8
--- a/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
+++ b/packages/thymefork-cells/src/thymefork_cells/jobs/intake.py
@@ -179,7 +179,7 @@
 
 
 def critical_path_ms(spec):
-    """Return the estimated duration of the longest chain of dependent steps."""
+    """Return the estimated duration of the longest path of dependent steps."""
     longest = []
     for step in spec.steps:
         preceding_ms = max((longest[earlier] for earlier in step.after), default=0.0)
--- a/packages/thymefork-cells/src/thymefork_cells/state/run.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/run.py
@@ -108,7 +108,7 @@
         return self.state is not RunState.INTENDED
 
     def age_at_silence_ms(self, now_ms):
-        """Return its maximum age when its worker fell silent, None if unknown."""
+        """Return its maximum age when its worker stopped answering, None if unknown."""
         if not self.began_ms:
             return None
         return max(
@@ -122,7 +122,7 @@
         return not was_reported and 0 < self.began_ms <= self.worker.answered_poll_ms
 
     def may_have_crashed(self, now_ms):
-        """Return whether its worker fell silent soon after its start."""
+        """Return whether its worker became unresponsive soon after its start."""
         if not self.was_sent or not self.worker.is_unresponsive(now_ms):
             return False
         age_ms = self.age_at_silence_ms(now_ms)
--- a/packages/thymefork-cells/src/thymefork_cells/state/worker.py
+++ b/packages/thymefork-cells/src/thymefork_cells/state/worker.py
@@ -208,7 +208,7 @@
     def is_leaving(self):
         """Return whether it is draining, or was removed from the list while alive.
 
-        The entry of a crashed worker disappears only after it has fallen silent.
+        The entry of a crashed worker disappears only after it has stopped answering.
         """
         if self.entry.draining:
             return True
@@ -228,7 +228,7 @@
 
     @property
     def is_suspect(self):
-        """Return whether it has not answered since it, or its hall, fell silent."""
+        """Return whether it has not answered since it, or its hall, became suspect."""
         return self.unanswered_in_row > 0 or self.last_answer_ms < self.suspected_ms
 
     def is_unresponsive(self, now_ms):
--- a/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
+++ b/packages/thymefork-cells/src/thymefork_cells/tests/test_gangs_under_load.py
@@ -126,7 +126,7 @@
 
 
 def test_gang_is_not_started_with_silent_worker(make_harness):
-    """A worker becomes silent before the starts are sent."""
+    """A worker stops answering before the starts are sent."""
     harness = with_gangs(make_harness)
     harness.append_latency_ms = lambda: 600.0
     harness.submit(JOB, gang(8, estimated_ms=300_000))
--- a/packages/thymefork-cells/src/thymefork_cells/workers/quorum.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/quorum.py
@@ -48,7 +48,7 @@
         )
 
     def bound_inherited_leases(self, now_ms):
-        """Bound the leases of the previous owner on silent workers."""
+        """Bound the leases that the previous owner may have given to any worker."""
         bound_ms = (
             now_ms
             + self._membership_ms
--- a/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
+++ b/packages/thymefork-cells/src/thymefork_cells/workers/worker_poller.py
@@ -26,7 +26,7 @@
 # Bounds of the backoff after unanswered polls.
 MIN_POLL_RETRY_DELAY_MS = 150.0
 MAX_POLL_RETRY_DELAY_MS = 400.0
-# A worker counts as silent after this many unanswered polls in a row.
+# A worker has no contact after this many unanswered polls in a row.
 MAX_UNANSWERED_POLLS = 2
 # Checking all workers for due polls is expensive, so it is done this often. Workers
 # with changes are checked in the next cycle.
