--- a/packages/thymefork-daemon/src/thymefork_daemon/membership.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/membership.py
@@ -118,8 +118,8 @@
     def store_lost(self):
         """Return whether this instance's joins are no longer answered."""
         # A slow store does not count as lost.
-        patience_ms = STORE_LOST_MS + 2 * self._round_trip_ms
-        return self.in_group and steady_ms() - self.renewed_ms > patience_ms
+        timeout_ms = STORE_LOST_MS + 2 * self._round_trip_ms
+        return self.in_group and steady_ms() - self.renewed_ms > timeout_ms
 
     @property
     def is_stable(self):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/append_window.py
@@ -62,7 +62,7 @@
     @property
     def hedge_delay_ms(self):
         """Return the delay before an unanswered append is hedged."""
-        return self._hedge_timeout.patience_ms
+        return self._hedge_timeout.timeout_ms
 
     @staticmethod
     def next_hedge_delay_ms(hedge_delay_ms):
--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
@@ -29,11 +29,11 @@
         self._apply_effects = apply_effects
 
     def handle(
-        self, kind, queue, job_id, data, respond, *, account_name="", patience_ms=0
+        self, kind, queue, job_id, data, respond, *, account_name="", timeout_ms=0
     ):
         """Handle a request; `respond` takes the reply once it may be sent.
 
-        `patience_ms` is the caller's timeout, or 0 if it is not known.
+        `timeout_ms` is the caller's timeout, or 0 if it is not known.
         """
         intake, now_ms = self._intake, steady_ms()
         if self._is_store_unavailable() and not self._needs_no_append(kind, job_id):
@@ -46,14 +46,14 @@
             intake.submit(
                 respond, job_id, queue, data, account_name=account_name, now_ms=now_ms
             )
-            self._schedule_expiry(job_id, patience_ms)
+            self._schedule_expiry(job_id, timeout_ms)
         else:
             intake.cancel(respond, job_id, account_name=account_name, now_ms=now_ms)
 
-    def _schedule_expiry(self, job_id, patience_ms):
+    def _schedule_expiry(self, job_id, timeout_ms):
         """Abandon a job that no append contains by the end of the caller's timeout."""
-        if patience_ms > REPLY_MARGIN_MS and self._journal.is_unsent(job_id):
-            delay_ms = patience_ms - REPLY_MARGIN_MS
+        if timeout_ms > REPLY_MARGIN_MS and self._journal.is_unsent(job_id):
+            delay_ms = timeout_ms - REPLY_MARGIN_MS
             self._timers.after(delay_ms, lambda: self._expire_if_unsent(job_id))
 
     def _expire_if_unsent(self, job_id):
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_advice_dispatcher.py
@@ -31,7 +31,7 @@
         self.asked = []
         self.wanted = []
 
-    def ask(self, *, step_name, worker_ids, patience_ms, done, wanted):
+    def ask(self, *, step_name, worker_ids, timeout_ms, done, wanted):
         self.asked.append(step_name)
         self.wanted.append(wanted)
 
--- a/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/tests/test_cell_owner.py
@@ -194,7 +194,7 @@
     """Stop answering appends; return them, the first with one job."""
     appends = []
     daemon.store.append = lambda **fields: appends.append(fields)
-    send_request(daemon.owners[0], NEW_JOB, [], patience_ms=400)
+    send_request(daemon.owners[0], NEW_JOB, [], timeout_ms=400)
     timers.run(10)
     assert len(appends) == 1
     return appends
@@ -204,7 +204,7 @@
     """Callers waiting behind an unanswered append got no answer."""
     daemon.owned_cells.update()
     appends, replies = silence_store(daemon, timers), []
-    send_request(daemon.owners[0], SECOND_JOB, replies, patience_ms=400)
+    send_request(daemon.owners[0], SECOND_JOB, replies, timeout_ms=400)
     timers.run(280)
     assert not replies
     timers.run(119)  # just before the caller's timeout
@@ -218,7 +218,7 @@
     daemon.owned_cells.update()
     silence_store(daemon, timers)
     replies = []
-    send_request(daemon.owners[0], NEW_JOB, replies, patience_ms=400)
+    send_request(daemon.owners[0], NEW_JOB, replies, timeout_ms=400)
     timers.run(2_000)
     assert not replies
     assert NEW_JOB in daemon.owners[0].cell.context.jobs
@@ -227,7 +227,7 @@
 def test_job_stored_in_time_is_kept(daemon, timers):
     daemon.owned_cells.update()
     replies = []
-    send_request(daemon.owners[0], NEW_JOB, replies, patience_ms=400)
+    send_request(daemon.owners[0], NEW_JOB, replies, timeout_ms=400)
     timers.run(2_000)
     assert [reply.outcome for reply in replies] == [Outcome.ACCEPTED]
     assert NEW_JOB in daemon.owners[0].cell.context.jobs
--- a/packages/thymefork-net/src/thymefork_net/adaptive_timeout.py
+++ b/packages/thymefork-net/src/thymefork_net/adaptive_timeout.py
@@ -31,7 +31,7 @@
         self._unanswered_in_row += 1
 
     @property
-    def patience_ms(self):
+    def timeout_ms(self):
         """Return how long to wait for the next answer."""
         base_ms = max(self._min_ms, self._factor * self._answer_ms)
         return min(self._max_ms, base_ms * (1 + self._unanswered_in_row))
--- a/packages/thymefork-net/src/thymefork_net/tests/test_adaptive_timeout.py
+++ b/packages/thymefork-net/src/thymefork_net/tests/test_adaptive_timeout.py
@@ -13,17 +13,17 @@
 def test_fast_answers_keep_the_minimum_timeout(adaptive_timeout):
     for _ in range(20):
         adaptive_timeout.record_answer_time(3.0)
-    assert adaptive_timeout.patience_ms == 60.0
+    assert adaptive_timeout.timeout_ms == 60.0
 
 
 def test_slow_answer_raises_the_timeout_which_then_decays(adaptive_timeout):
     adaptive_timeout.record_answer_time(20.0)
-    assert adaptive_timeout.patience_ms == 200.0
+    assert adaptive_timeout.timeout_ms == 200.0
     adaptive_timeout.record_answer_time(3.0)
-    assert adaptive_timeout.patience_ms == 180.0
+    assert adaptive_timeout.timeout_ms == 180.0
     for _ in range(20):
         adaptive_timeout.record_answer_time(3.0)
-    assert adaptive_timeout.patience_ms == 60.0
+    assert adaptive_timeout.timeout_ms == 60.0
 
 
 def test_consecutive_unanswered_calls_raise_the_timeout_to_its_maximum(
@@ -31,6 +31,6 @@
 ):
     for _ in range(9):
         adaptive_timeout.record_unanswered()
-    assert adaptive_timeout.patience_ms == 300.0
+    assert adaptive_timeout.timeout_ms == 300.0
     adaptive_timeout.record_answer_time(3.0)
-    assert adaptive_timeout.patience_ms == 60.0
+    assert adaptive_timeout.timeout_ms == 60.0
--- a/soak/src/thymefork_soak/accounts.py
+++ b/soak/src/thymefork_soak/accounts.py
@@ -66,7 +66,7 @@
         self._fleet = fleet
         self._random = random
 
-    async def work(self, until_s, now):
+    async def run(self, until_s, now):
         """Make changes until the given time, then restore all settings."""
         accounts = self._fleet.accounts
         while now() < until_s:
@@ -95,7 +95,7 @@
         super().__init__(fleet=fleet, random=random, account=GUEST)
         self.violations = []
 
-    async def work(self, until_s, now):
+    async def run(self, until_s, now):
         """Request unknown jobs until the given time."""
         while now() < until_s:
             await asyncio.sleep(self._random.uniform(0.05, 0.5))
@@ -126,7 +126,7 @@
         super().__init__(fleet=fleet, random=random, account="nobody")
         self.violations = []
 
-    async def work(self, until_s, now):
+    async def run(self, until_s, now):
         """Submit jobs until the given time; none may be accepted."""
         while now() < until_s:
             await asyncio.sleep(self._random.uniform(0.3, 1.5))
--- a/soak/src/thymefork_soak/callers.py
+++ b/soak/src/thymefork_soak/callers.py
@@ -41,7 +41,7 @@
         self._random = random
         self._connection = None
 
-    async def work(self, until_s, now):
+    async def run(self, until_s, now):
         """Submit jobs until the given time."""
         while now() < until_s:
             await self._submit_job()
--- a/soak/src/thymefork_soak/capacity_changes.py
+++ b/soak/src/thymefork_soak/capacity_changes.py
@@ -17,7 +17,7 @@
         self._random = random
         self._workers = workers
 
-    async def work(self, until_s, now):
+    async def run(self, until_s, now):
         """Change capacities until the given time."""
         while now() < until_s:
             await asyncio.sleep(self._random.choice((0.5, 1.0, 3.0)))
--- a/soak/src/thymefork_soak/crashing_caller.py
+++ b/soak/src/thymefork_soak/crashing_caller.py
@@ -15,7 +15,7 @@
 class CrashingCaller(Caller):
     """Submit jobs in which one task crashes its workers."""
 
-    async def work(self, until_s, now):
+    async def run(self, until_s, now):
         """Submit jobs until the given time."""
         while now() < until_s:
             await self._submit()
--- a/soak/src/thymefork_soak/entry_corruption.py
+++ b/soak/src/thymefork_soak/entry_corruption.py
@@ -24,7 +24,7 @@
         self._random = random
         self._workers = workers
 
-    async def work(self, until_s, now):
+    async def run(self, until_s, now):
         """Corrupt entries until the given time; workers rewrite theirs."""
         while now() < until_s:
             await asyncio.sleep(self._random.uniform(0.5, 4.0))
--- a/soak/src/thymefork_soak/faults.py
+++ b/soak/src/thymefork_soak/faults.py
@@ -39,7 +39,7 @@
             self._hang_up,
         )
 
-    async def work(self, until_s, now):
+    async def run(self, until_s, now):
         """Inject faults at random intervals, then wait until all have ended."""
         while now() < until_s:
             await asyncio.sleep(self._random.uniform(0.4, 2.0))
--- a/soak/src/thymefork_soak/long_running_caller.py
+++ b/soak/src/thymefork_soak/long_running_caller.py
@@ -21,7 +21,7 @@
         """Cancel the current job now and submit no other."""
         self._leaving.set()
 
-    async def work(self):
+    async def run(self):
         """Submit and cancel jobs until `leave` is called."""
         while not self._leaving.is_set():
             job_id = f"{self._random.getrandbits(64):016x}"
--- a/soak/src/thymefork_soak/main.py
+++ b/soak/src/thymefork_soak/main.py
@@ -105,17 +105,17 @@
         )
         account_callers = _account_callers(fleet, seed) if with_accounts else []
         long_running_tasks = [
-            asyncio.ensure_future(caller.work()) for caller in long_running
+            asyncio.ensure_future(caller.run()) for caller in long_running
         ]
         until_s = SETTLE_S + seconds
         await asyncio.gather(
-            plan.work(until_s, now),
+            plan.run(until_s, now),
             plan.run_outages(until_s, now, random.Random(f"{seed} outages")),
-            crashing.work(until_s, now),
-            capacity_changes.work(until_s, now),
-            corrupter.work(until_s, now),
-            *(caller.work(until_s, now) for caller in callers),
-            *(extra.work(until_s, now) for extra in account_callers),
+            crashing.run(until_s, now),
+            capacity_changes.run(until_s, now),
+            corrupter.run(until_s, now),
+            *(caller.run(until_s, now) for caller in callers),
+            *(extra.run(until_s, now) for extra in account_callers),
         )
         (folder / "faults.txt").write_text("\n".join([*plan.history, ""]))
         callers += [*long_running, crashing]
