--- a/soak/src/thymefork_soak/main.py
+++ b/soak/src/thymefork_soak/main.py
@@ -135,7 +135,8 @@
     accepted = sum(submitted.accepted for submitted in submitted_jobs)
     return (
         violations,
-        f"{len(submitted_jobs)} jobs, {accepted} accepted, {len(fault_injector.history)} faults",
+        f"{len(submitted_jobs)} jobs, {accepted} accepted,"
+        f" {len(fault_injector.history)} faults",
     )
 
 
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -147,7 +147,7 @@
 
 
 def test_group_reassigns_only_after_the_owner_knows_the_generation():
-    group = Group(parts=2)
+    group = Group(partition_count=2)
     assert group.join("a", 1_000, 0, 0.0) == [0, 1]
     assert group.join("b", 1_000, 0, 0.0) == []
     before = group.generation
