--- a/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
+++ b/packages/thymefork-daemon/src/thymefork_daemon/owner/request_handler.py
@@ -69,7 +69,7 @@
         for reply in self._journal.take_replies_of_unsent():
             self._metrics.count("refusals", "given_back")
             line = logger.bind(event="job_withdrawn", job=reply.job_id)
-            line.bind(reason="ownership lost before the job was stored").info(
+            line.bind(reason="the cell was lost before").info(
                 "job not stored: ownership lost"
             )
             respond = reply.reply_to
